--- a/crates/holdpoint-core/src/choice.rs
+++ b/crates/holdpoint-core/src/choice.rs
@@ -1,4 +1,4 @@
-//! What routing is asked and what it answers: targets as their pool gives them, calls, decisions.
+//! Inputs and outputs of routing: members of a pool, calls and decisions.
 
 use holdpoint_schema::resources::Route;
 
@@ -8,77 +8,76 @@
     ids::{Millis, Name},
 };
 
-/// A target as the pool and the instance list give it.
+/// A target of a pool, from the pool's configuration and the instance list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Member {
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Failure domain.
     pub domain: String,
-    /// Whether any sign says that it is leaving.
+    /// Whether it is draining, by any drain notice.
     pub leaving: bool,
-    /// Whether it gets no calls although it stays, since its failure domain is evacuated. What was
-    /// learned of it is kept.
+    /// Whether it gets no calls because its failure domain is evacuated. Its learned state is kept.
     pub held: bool,
 }
 
 /// Load as a target reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Calls that it runs.
+    /// Calls that are running.
     pub running: u32,
-    /// Calls that wait in its queue.
+    /// Calls that are queued.
     pub waiting: u32,
-    /// How long work takes there at this moment, in hundredths of the usual time, where it tells that.
+    /// Current time per unit of work in percent of the usual time, if reported.
     pub pace_percent: Option<u32>,
 }
 
 /// A call to route.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
-    /// Work expected, in any unit that is the same for all calls of the pool.
+    /// Expected work, in a unit shared by all calls of the pool.
     pub work: f64,
     /// Part of the work that a cached prefix saves.
     pub prefix_work: f64,
     /// Hash of the prompt's prefix, where the target caches prefixes.
     pub prefix: Option<u64>,
-    /// Targets already tried for this call.
+    /// Addresses of the targets already tried for this call.
     pub tried: &'a [String],
-    /// Calls in flight to one target that this instance allows itself.
+    /// Upper bound of this instance's calls in flight to one target.
     pub cap: u32,
-    /// Part of what a cold target carries that this decision may draw on.
+    /// Share of a cold target's rate available to this decision.
     pub share: Share,
-    /// Bytes that the target fetches before it begins, by the failure domain that they lie in.
+    /// Bytes that the target fetches before it starts, with the failure domain that stores them.
     pub inputs: &'a [(Name, u64)],
     /// Whether this instance sends the call itself, rather than a peer for which it chooses.
     pub is_own: bool,
-    /// What its targets must be within, where its request is confined to regions.
+    /// Bounds of its targets, if its request is confined to regions.
     pub within: Option<&'a Bounds>,
 }
 
 impl Call<'_> {
-    /// Bytes that come from other failure domains where a target of `domain` serves the call.
+    /// Bytes fetched from other failure domains if a target in `domain` serves the call.
     pub fn moved_bytes(&self, domain: &str) -> u64 {
         self.inputs.iter().filter(|it| it.0 != domain).map(|it| it.1).sum()
     }
 }
 
-/// Why a target was chosen.
+/// Explains why a target was chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reason {
     /// Route that chose it.
     pub route: Route,
-    /// Targets that were compared.
+    /// Number of targets compared.
     pub compared: usize,
-    /// Targets that were left out as ejected.
+    /// Number of targets left out as ejected.
     pub ejected: usize,
-    /// Predicted time of the call at the target, in milliseconds; 0 for routes that predict none.
+    /// Predicted time of the call at the target, in milliseconds; 0 for routes without prediction.
     pub predicted: f64,
     /// Whether the prompt's prefix was expected in the target's cache.
     pub prefix_hit: bool,
 }
 
-/// A decision.
+/// A routing decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// Address of the target.
@@ -90,31 +89,31 @@
 /// Why no target can be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoTarget {
-    /// The pool has no target that is not leaving.
+    /// Every target of the pool is draining, or it has none.
     Empty,
     /// Every target was tried for this call.
     Tried,
-    /// Every target has as many calls in flight as it may.
+    /// Every target has reached the cap on calls in flight.
     Full,
-    /// Every target is held back, since its failure domain is evacuated.
+    /// The failure domain of every target is evacuated.
     Evacuated,
-    /// The call is confined to regions in which there is no target for it.
+    /// The call is confined to regions without a target.
     Confined,
-    /// Every target has got what it takes for so many milliseconds.
+    /// Every target has reached its rate limit; the shortest wait, in milliseconds.
     Limited(Millis),
-    /// Every target has asked this instance to back off, for so many milliseconds at least.
+    /// Every target has asked this instance to back off; the shortest wait, in milliseconds.
     BackingOff(Millis),
-    /// Every target is cold and carries no more for so many milliseconds.
+    /// Every target is cold and has reached its rate; the shortest wait, in milliseconds.
     Cold(Millis),
 }
 
-/// How a call at a target ended.
+/// Outcome of a call at a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
-    /// A whole answer after this time, in milliseconds.
+    /// Complete response after this time, in milliseconds.
     Whole(Millis),
-    /// A failure of the target.
+    /// Failure of the target.
     Failed,
-    /// Given up here, for no fault of the target.
+    /// Cancelled here, through no fault of the target.
     Dropped,
 }
--- a/crates/holdpoint-core/src/route.rs
+++ b/crates/holdpoint-core/src/route.rs
@@ -1,9 +1,9 @@
-//! Routing: which target of a pool serves a call.
+//! Routing: selects the target of a pool that serves a call.
 //!
-//! A router sees a subset of its pool whose size does not grow with the pool. The `predicted`
-//! route weighs what it knows of each target by how old it is: the calls of its own in flight are
-//! exact, the load that the target reported fades with the age of the report, and the time a unit
-//! of work takes is learned for each target.
+//! A router sees a subset of its pool, whose size the policy bounds. The `predicted` route estimates
+//! the time of a call at each target: this instance's own calls in flight are exact, the load that the
+//! target reported decays with the age of the report, and the time per unit of work is learned for
+//! each target.
 
 mod affinity;
 mod members;
@@ -27,52 +27,53 @@
 
 use self::{
     affinity::Holders,
-    predict::{Mean, learn_pace, prefix_trust},
+    predict::{Mean, prefix_trust, update_pace},
 };
 
-/// Most prefixes remembered for one target.
-const PREFIXES: usize = 512;
-/// Longest time to read one unit of work, in milliseconds, as long as little was measured.
-const LONGEST_READ_PACE: f64 = 0.05;
-/// Longest ejection as a multiple of the first one.
-const EJECT_DOUBLINGS: u32 = 5;
+/// Upper bound of the prefixes tracked for one target.
+const MAX_PREFIXES: usize = 512;
+/// Upper bound of the prefill time per unit of work, in milliseconds. The mean pace starts at a default
+/// until calls have been measured.
+const MAX_PREFILL_PACE_MS: f64 = 0.05;
+/// Upper bound of the doublings of the ejection time.
+const MAX_EJECT_DOUBLINGS: u32 = 5;
 
 #[derive(Clone, Debug)]
 struct Report {
     at: Millis,
-    /// Calls of other instances that ran or waited there.
-    others: f64,
-    /// Whether calls waited there.
+    /// Calls of other instances that were running or waiting.
+    other_calls: f64,
+    /// Whether calls were waiting.
     has_queue: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Target {
     address: String,
-    /// Hash of the address, from which the target's weight for a prefix is made.
+    /// Hash of the address, for its rendezvous weight.
     hash: u64,
     domain: String,
-    /// Region that it stands in; empty where there is only one.
+    /// Empty where there is only one region.
     region: String,
     in_flight: u32,
     work: f64,
     report: Option<Report>,
-    /// Milliseconds that one unit of work takes once it runs, at its usual pace; 0 if unknown.
+    /// Milliseconds per unit of work, without queueing; 0 if unknown.
     pace: f64,
-    /// What it tells of its pace at this moment.
-    told: ToldPace,
-    /// Calls that it runs at once, as far as its reports have shown; 0 if unknown.
+    /// Momentary slowdown that the target reports.
+    slowdown: ToldPace,
+    /// Calls that the target runs concurrently, inferred from its reports; 0 if unknown.
     slots: f64,
     failures: u32,
     ejections: u32,
     ejected_until: Millis,
     prefixes: HashMap<u64, Millis>,
-    /// When it will have read the prompts placed there, in milliseconds.
-    reads_until: f64,
-    /// What it carries as long as it is cold.
+    /// When the prefill of the prompts placed there ends, in milliseconds.
+    prefill_until: f64,
+    /// Limits its calls while it is cold.
     credits: Credits,
-    /// Until when it gets no calls, since it has got what it takes from all instances.
-    closed_until: Millis,
+    /// Until when it gets no calls because its rate limit over all instances is used up.
+    limited_until: Millis,
     /// Until when it gets no calls of this instance, which it has asked to back off.
     backoff_until: Millis,
 }
@@ -83,108 +84,108 @@
     salt: String,
     domain: String,
     policy: Policy,
-    known: HashMap<String, Member>,
+    members: HashMap<String, Member>,
     targets: Vec<Target>,
     /// Positions of the targets, by address.
     index: HashMap<String, usize>,
-    /// What was learned of the targets that are held back.
-    held: HashMap<String, Target>,
-    /// Calls a second that a cold target carries; 0 where that is not bounded.
+    /// State of targets whose failure domain is evacuated, kept for their return.
+    evacuated: HashMap<String, Target>,
+    /// Calls per second allowed to a cold target; 0 for no limit.
     cold_per_s: f64,
-    /// What others had at the targets when these last reported.
-    others: Mean,
-    /// Paces of the targets, as far as they are known.
+    /// Mean of the calls of other instances that each target last reported.
+    other_calls: Mean,
+    /// Mean of the known paces.
     paces: Mean,
     holders: Holders,
-    turn: usize,
+    next_turn: usize,
     topology: Topology,
-    /// What another region adds, there and back, in milliseconds.
+    /// Round-trip time to another region, in milliseconds.
     far_region_ms: f64,
 }
 
 impl Router {
-    /// Makes a router of the instance `salt`, which stands in `domain`.
+    /// Creates a router of the instance named `salt` in the failure domain `domain`.
     pub fn new(salt: &str, domain: &str, policy: Policy) -> Router {
         Router {
             salt: salt.to_owned(),
             domain: domain.to_owned(),
             policy,
-            known: HashMap::new(),
+            members: HashMap::new(),
             targets: Vec::new(),
             index: HashMap::new(),
-            held: HashMap::new(),
+            evacuated: HashMap::new(),
             cold_per_s: 0.0,
-            others: Mean::default(),
+            other_calls: Mean::default(),
             paces: Mean::default(),
             holders: Holders::default(),
-            turn: 0,
+            next_turn: 0,
             topology: Topology::default(),
             far_region_ms: 0.0,
         }
     }
 
-    /// Has it know the regions, the others of which are so many milliseconds away, there and back.
+    /// Sets the regions and the round-trip time to another region, in milliseconds.
     pub fn with_topology(mut self, topology: Topology, far_region_ms: f64) -> Router {
         self.topology = topology;
         self.far_region_ms = far_region_ms;
         self
     }
 
-    /// Policy in force.
+    /// Active policy.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Puts another policy in force; what was learned of the targets is kept.
+    /// Replaces the policy; learned state of the targets is kept.
     pub fn set_policy(&mut self, policy: Policy) {
         if self.policy.subset != policy.subset {
-            self.known.clear();
+            self.members.clear();
         }
         self.policy = policy;
     }
 
-    /// Takes in how many calls a second a cold target carries; 0 where that is not bounded.
+    /// Sets the calls per second allowed to a cold target; 0 for no limit.
     pub fn set_cold_rate(&mut self, per_s: f64) {
         self.cold_per_s = per_s;
     }
 
-    /// Takes in until when a target is cold, in milliseconds.
+    /// Marks a target as cold until a time, in milliseconds.
     pub fn set_cold(&mut self, now: Millis, address: &str, until: Millis) {
-        // Instances begin with different parts of a call, so that their first ones do not come together.
+        // Instances start with different bucket levels, so that their first calls do not coincide.
         let filled = weight(&self.salt, address) as f64 / u64::MAX as f64;
-        if let Some(it) = self.target(address) {
+        if let Some(it) = self.target_mut(address) {
             it.credits.set_cold(now, until, filled);
         }
     }
 
-    /// Counts a call against what the target carries as long as it is cold.
+    /// Charges a call to the token bucket of a cold target.
     pub fn spend_cold(&mut self, now: Millis, address: &str, share: Share) {
         let per_s = self.cold_per_s;
-        if let Some(it) = self.target(address) {
+        if let Some(it) = self.target_mut(address) {
             it.credits.spend(now, per_s, share);
         }
     }
 
-    /// Gives a target no calls until a time, in milliseconds.
+    /// Excludes a target until a time, in milliseconds.
     pub fn close_until(&mut self, address: &str, until: Millis) {
-        if let Some(it) = self.target(address) {
-            it.closed_until = until;
+        if let Some(it) = self.target_mut(address) {
+            it.limited_until = until;
         }
     }
 
-    /// Gives a target none of this instance's own calls until a time, in milliseconds.
+    /// Excludes a target for calls that this instance sends itself until a time, in milliseconds.
     pub fn back_off_until(&mut self, address: &str, until: Millis) {
-        if let Some(it) = self.target(address) {
+        if let Some(it) = self.target_mut(address) {
             it.backoff_until = until;
         }
     }
 
-    /// Number of targets that calls may go to.
+    /// Number of targets that are routed to.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether calls have nowhere to go.
+    /// Whether there is no target to route to.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
@@ -194,9 +195,9 @@
         self.targets.iter().map(|it| it.in_flight).sum()
     }
 
-    /// Chooses a target for a call. [`Router::sent`] must follow where the call is made.
+    /// Chooses a target for a call. The caller must call [`Router::sent`] when it sends the call.
     ///
-    /// `policy` may differ from the router's own where a trial has given the request to an arm.
+    /// `policy` differs from the router's own for a request in an arm of a trial.
     pub fn choose(
         &mut self,
         now: Millis,
@@ -207,8 +208,8 @@
         self.choose_in(now, policy, call, None, rng)
     }
 
-    /// Chooses a target for a call as [`Router::choose`] does, in a region as long as a target is left
-    /// there.
+    /// Like [`Router::choose`], but prefers the targets of a region. The other regions are used only
+    /// where that region has no target left to try.
     pub fn choose_in(
         &mut self,
         now: Millis,
@@ -218,21 +219,21 @@
         rng: &mut impl Rng,
     ) -> Result<Choice, NoTarget> {
         if self.targets.is_empty() {
-            let is_held = self.known.values().any(|it| it.held && !it.leaving);
-            return Err(if is_held { NoTarget::Evacuated } else { NoTarget::Empty });
+            let is_evacuated = self.members.values().any(|it| it.held && !it.leaving);
+            return Err(if is_evacuated { NoTarget::Evacuated } else { NoTarget::Empty });
         }
         let (candidates, ejected) = self.candidates(now, policy, call, region)?;
         let route = policy.route;
         let (index, compared) = match route {
             Route::Random => (candidates[rng.random_range(0..candidates.len())], 1),
             Route::RoundRobin => {
-                self.turn = self.turn.wrapping_add(1);
-                (candidates[self.turn % candidates.len()], 1)
+                self.next_turn = self.next_turn.wrapping_add(1);
+                (candidates[self.next_turn % candidates.len()], 1)
             }
-            Route::LeastLoaded => (self.least(&candidates, rng), candidates.len()),
+            Route::LeastLoaded => (self.least_loaded(&candidates, rng), candidates.len()),
             Route::TwoChoices => {
-                let drawn = draw(&candidates, 2, rng);
-                (self.least(&drawn, rng), drawn.len())
+                let sampled = sample(&candidates, 2, rng);
+                (self.least_loaded(&sampled, rng), sampled.len())
             }
             Route::Predicted => self.least_predicted(now, policy, call, &candidates, rng),
             Route::Affinity => self.least_by_affinity(now, policy, call, candidates, rng),
@@ -248,45 +249,46 @@
 
     /// Counts a call as sent to a target.
     pub fn sent(&mut self, now: Millis, address: &str, call: &Call<'_>) {
-        let Some(target) = self.target(address) else { return };
+        let Some(target) = self.target_mut(address) else { return };
         target.in_flight += 1;
         target.work += call.work;
         if let Some(prefix) = call.prefix {
-            remember(target, prefix, now);
-            self.holders.note(now, prefix, address);
+            track_prefix(target, prefix, now);
+            self.holders.record(now, prefix, address);
         }
     }
 
-    /// Counts a prompt as placed at a target, by whichever instance: the target is to hold its
-    /// prefix, and reads it before what comes later.
+    /// Records that an instance, this one or another, has placed a prompt at a target. The target is
+    /// expected to cache its prefix, and prefills it before later prompts.
     pub fn placed(&mut self, now: Millis, address: &str, call: &Call<'_>) {
         let Some(prefix) = call.prefix else { return };
-        let pace = self.mean_pace().min(LONGEST_READ_PACE);
-        let Some(target) = self.target(address) else { return };
-        let unread = call.work - call.prefix_work * prefix_trust(target, call, now);
-        target.reads_until = target.reads_until.max(now as f64) + unread * pace;
-        remember(target, prefix, now);
-        self.holders.note(now, prefix, address);
+        let pace = self.mean_pace().min(MAX_PREFILL_PACE_MS);
+        let Some(target) = self.target_mut(address) else { return };
+        let uncached = call.work - call.prefix_work * prefix_trust(target, call, now);
+        target.prefill_until = target.prefill_until.max(now as f64) + uncached * pace;
+        track_prefix(target, prefix, now);
+        self.holders.record(now, prefix, address);
     }
 
-    /// Targets that get no calls for a while.
+    /// Addresses of the targets that are ejected as outliers.
     pub fn ejected(&self, now: Millis) -> Vec<String> {
         let is_ejected = |it: &&Target| now < it.ejected_until;
         self.targets.iter().filter(is_ejected).map(|it| it.address.clone()).collect()
     }
 
-    /// Counts a call as ended. A failure in a row of failures may eject the target.
+    /// Records the end of a call. Consecutive failures eject the target.
     pub fn ended(&mut self, now: Millis, address: &str, work: f64, end: End) {
         let (eject_failures, eject_ms) = (self.policy.eject_failures, self.policy.eject_ms);
-        let found = self.found(address);
-        // The way to another region says nothing of the target's pace.
-        let way = found.filter(|it| self.is_far(it)).map_or(0.0, |_| self.far_region_ms) as Millis;
+        let known = self.target(address);
+        // The round trip to another region is not part of the target's pace.
+        let distance_ms =
+            known.filter(|it| self.is_remote(it)).map_or(0.0, |_| self.far_region_ms) as Millis;
         let mut paces = self.paces;
-        let Some(target) = self.target(address) else { return };
+        let Some(target) = self.target_mut(address) else { return };
         match end {
             End::Whole(ms) => {
                 let before = target.known_pace();
-                learn_pace(now, target, work, ms.saturating_sub(way));
+                update_pace(now, target, work, ms.saturating_sub(distance_ms));
                 paces.replace(before, target.known_pace());
                 target.failures = 0;
                 target.ejections = 0;
@@ -294,7 +296,7 @@
             End::Failed => {
                 target.failures += 1;
                 if eject_failures <= target.failures {
-                    let doublings = target.ejections.min(EJECT_DOUBLINGS);
+                    let doublings = target.ejections.min(MAX_EJECT_DOUBLINGS);
                     target.ejected_until = now + (eject_ms << doublings);
                     target.ejections += 1;
                     target.failures = eject_failures.saturating_sub(1);
@@ -307,47 +309,47 @@
         self.paces = paces;
     }
 
-    /// Takes in a load report that a target made at `at`.
+    /// Applies a load report that a target made at `at`; older reports than the last one are ignored.
     pub fn report(&mut self, at: Millis, address: &str, load: Load) {
-        let mut all_others = self.others;
-        let Some(target) = self.target(address) else { return };
+        let mut mean_others = self.other_calls;
+        let Some(target) = self.target_mut(address) else { return };
         if target.report.as_ref().is_some_and(|it| at < it.at) {
             return;
         }
         if let Some(it) = load.pace_percent {
-            target.told.told(at, it);
+            target.slowdown.told(at, it);
         }
         let running = f64::from(load.running);
-        // A queue shows where the limit is; without one there is room for more than runs.
+        // A queue means that all slots are in use; without one there is at least one more.
         let is_queued = Signal::Clear < Signal::of_load(load.running, load.waiting);
         target.slots = if is_queued { running } else { target.slots.max(running + 1.0) };
-        let all = running + f64::from(load.waiting);
-        let others = (all - f64::from(target.in_flight)).max(0.0);
-        all_others.replace(target.report.as_ref().map(|it| it.others), Some(others));
-        target.report = Some(Report { at, others, has_queue: load.waiting != 0 });
-        self.others = all_others;
+        let total = running + f64::from(load.waiting);
+        let other_calls = (total - f64::from(target.in_flight)).max(0.0);
+        mean_others.replace(target.report.as_ref().map(|it| it.other_calls), Some(other_calls));
+        target.report = Some(Report { at, other_calls, has_queue: load.waiting != 0 });
+        self.other_calls = mean_others;
     }
 
-    /// Whether a target has told that work takes so long there that a silence is no failure of it.
+    /// Whether a target has reported such a slowdown that a late answer does not count as a failure.
     pub fn is_slow(&self, now: Millis, address: &str) -> bool {
-        self.found(address).is_some_and(|it| it.told.is_slow(now))
+        self.target(address).is_some_and(|it| it.slowdown.is_slow(now))
     }
 
-    /// Whether calls waited at a target when it last reported.
+    /// Whether calls were waiting at a target when it last reported.
     pub fn has_queue(&self, address: &str) -> bool {
-        self.found(address).and_then(|it| it.report.as_ref()).is_some_and(|it| it.has_queue)
+        self.target(address).and_then(|it| it.report.as_ref()).is_some_and(|it| it.has_queue)
     }
 
-    fn found(&self, address: &str) -> Option<&Target> {
+    fn target(&self, address: &str) -> Option<&Target> {
         self.index.get(address).map(|it| &self.targets[*it])
     }
 
-    fn target(&mut self, address: &str) -> Option<&mut Target> {
+    fn target_mut(&mut self, address: &str) -> Option<&mut Target> {
         self.index.get(address).map(|it| &mut self.targets[*it])
     }
 
-    /// Targets that the call may go to, and how many were left out as ejected. At most the part
-    /// of the pool above the floor is left out, the longest ejected ones first.
+    /// Targets eligible for the call, and the number left out as ejected. Where too few are left for
+    /// the policy's floor, ejected ones are used, those whose ejection ends first before others.
     fn candidates(
         &self,
         now: Millis,
@@ -371,20 +373,20 @@
         if open.is_empty() {
             return Err(NoTarget::Full);
         }
-        let limited_ms = |it: &usize| self.targets[*it].closed_until.saturating_sub(now);
+        let limited_ms = |it: &usize| self.targets[*it].limited_until.saturating_sub(now);
         let backoff_ms = |it: &usize| {
             let until = if call.is_own { self.targets[*it].backoff_until } else { 0 };
             until.saturating_sub(now)
         };
-        let closed_ms = |it: &usize| limited_ms(it).max(backoff_ms(it));
-        if let Some(soonest) = open.iter().min_by_key(|it| closed_ms(it))
-            && 0 < closed_ms(soonest)
+        let blocked_ms = |it: &usize| limited_ms(it).max(backoff_ms(it));
+        if let Some(soonest) = open.iter().min_by_key(|it| blocked_ms(it))
+            && 0 < blocked_ms(soonest)
         {
-            let ms = closed_ms(soonest);
+            let ms = blocked_ms(soonest);
             let is_limited = backoff_ms(soonest) < ms;
             return Err(if is_limited { NoTarget::Limited(ms) } else { NoTarget::BackingOff(ms) });
         }
-        let open: Vec<usize> = open.into_iter().filter(|it| closed_ms(it) == 0).collect();
+        let open: Vec<usize> = open.into_iter().filter(|it| blocked_ms(it) == 0).collect();
         let cold_ms =
             |it: &usize| self.targets[*it].credits.wait_ms(now, self.cold_per_s, call.share);
         let soonest = open.iter().map(cold_ms).min().unwrap_or(0);
@@ -403,21 +405,21 @@
         Ok((fit, ejected.len()))
     }
 
-    /// Those of some targets that stand in a region, and how many there are in all; every one where
-    /// none of them does.
+    /// The given targets that are in a region, and the number of the pool's targets there. Where none
+    /// of the given ones is there, returns all of them and the size of the pool.
     fn in_region(&self, targets: Vec<usize>, region: Option<&str>) -> (Vec<usize>, usize) {
-        let is_there = |it: &Target| region.is_none_or(|region| it.region == region);
-        if !targets.iter().any(|it| is_there(&self.targets[*it])) {
+        let is_inside = |it: &Target| region.is_none_or(|region| it.region == region);
+        if !targets.iter().any(|it| is_inside(&self.targets[*it])) {
             return (targets, self.targets.len());
         }
-        let there = targets.into_iter().filter(|it| is_there(&self.targets[*it])).collect();
-        (there, self.targets.iter().filter(|it| is_there(it)).count())
+        let inside = targets.into_iter().filter(|it| is_inside(&self.targets[*it])).collect();
+        (inside, self.targets.iter().filter(|it| is_inside(it)).count())
     }
 
-    fn least(&self, candidates: &[usize], rng: &mut impl Rng) -> usize {
-        lowest(candidates, rng, |it| {
+    fn least_loaded(&self, candidates: &[usize], rng: &mut impl Rng) -> usize {
+        lowest_score(candidates, rng, |it| {
             let target = &self.targets[it];
-            let reported = target.report.as_ref().map_or(0.0, |it| it.others);
+            let reported = target.report.as_ref().map_or(0.0, |it| it.other_calls);
             reported + f64::from(target.in_flight)
         })
     }
@@ -430,61 +432,65 @@
         candidates: &[usize],
         rng: &mut impl Rng,
     ) -> (usize, usize) {
-        let mut drawn = draw(candidates, policy.choices.max(1) as usize, rng);
-        // A target that holds the prefix is always compared: drawing it by luck alone would
-        // waste the cache in a large pool.
+        let mut sampled = sample(candidates, policy.choices.max(1) as usize, rng);
+        // The target most likely to cache the prefix is always compared: in a large pool a random
+        // sample would rarely include it.
         let holder = candidates
             .iter()
             .copied()
-            .filter(|it| !drawn.contains(it))
+            .filter(|it| !sampled.contains(it))
             .max_by(|a, b| {
                 let trust = |it: &usize| prefix_trust(&self.targets[*it], call, now);
                 trust(a).total_cmp(&trust(b))
             })
             .filter(|it| 0.0 < prefix_trust(&self.targets[*it], call, now));
-        drawn.extend(holder);
-        let best = lowest(&drawn, rng, |it| {
+        sampled.extend(holder);
+        let best = lowest_score(&sampled, rng, |it| {
             let target = &self.targets[it];
             self.predict(now, policy, call, target, prefix_trust(target, call, now))
         });
-        (best, drawn.len())
+        (best, sampled.len())
     }
 }
 
-/// Region of a failure domain; empty where there is only one, or it is not known.
+/// Region of a failure domain; empty where there is only one region or it is unknown.
 fn region(topology: &Topology, domain: &str) -> String {
     let known = topology.region_of(domain).filter(|_| topology.is_split());
     known.unwrap_or_default().to_owned()
 }
 
-fn remember(target: &mut Target, prefix: u64, now: Millis) {
-    if PREFIXES <= target.prefixes.len() && !target.prefixes.contains_key(&prefix) {
+fn track_prefix(target: &mut Target, prefix: u64, now: Millis) {
+    if MAX_PREFIXES <= target.prefixes.len() && !target.prefixes.contains_key(&prefix) {
         let oldest = target.prefixes.iter().min_by_key(|it| *it.1).map(|it| *it.0);
         oldest.and_then(|it| target.prefixes.remove(&it));
     }
     target.prefixes.insert(prefix, now);
 }
 
-/// Draws `n` of the candidates without repetition.
-fn draw(candidates: &[usize], n: usize, rng: &mut impl Rng) -> Vec<usize> {
+/// Samples `n` of the candidates without replacement.
+fn sample(candidates: &[usize], n: usize, rng: &mut impl Rng) -> Vec<usize> {
     if candidates.len() <= n {
         return candidates.to_vec();
     }
-    let mut rest = candidates.to_vec();
-    (0..n).map(|_| rest.swap_remove(rng.random_range(0..rest.len()))).collect()
+    let mut remaining = candidates.to_vec();
+    (0..n).map(|_| remaining.swap_remove(rng.random_range(0..remaining.len()))).collect()
 }
 
-/// The candidate of lowest score; ties are broken by chance, so that instances do not all choose
-/// the same one.
-fn lowest(candidates: &[usize], rng: &mut impl Rng, score: impl Fn(usize) -> f64) -> usize {
+/// The candidate of lowest score. Ties are broken at random, so that instances do not all choose the
+/// same one.
+fn lowest_score(
+    candidates: &[usize],
+    rng: &mut impl Rng,
+    score_of: impl Fn(usize) -> f64,
+) -> usize {
     let mut best = candidates[0];
     let mut best_score = f64::INFINITY;
     let mut ties = 0;
     for &candidate in candidates {
-        let found = score(candidate);
-        if found < best_score {
-            (best, best_score, ties) = (candidate, found, 1);
-        } else if found == best_score {
+        let score = score_of(candidate);
+        if score < best_score {
+            (best, best_score, ties) = (candidate, score, 1);
+        } else if score == best_score {
             ties += 1;
             if rng.random_range(0..ties) == 0 {
                 best = candidate;
--- a/crates/holdpoint-core/src/route/predict.rs
+++ b/crates/holdpoint-core/src/route/predict.rs
@@ -1,32 +1,31 @@
-//! How long a call would take at a target.
+//! Predicts the time of a call at a target, in milliseconds.
 
 use holdpoint_schema::resources::Policy;
 
 use super::{Call, Router, Target};
 use crate::ids::Millis;
 
-/// Weight of the newest measurement of a target's speed.
-const NEWEST: f64 = 0.1;
-/// What each call in the batch adds to the time of the others, as a part of it.
+/// EWMA weight of the newest pace measurement.
+const PACE_WEIGHT: f64 = 0.1;
+/// Fraction by which each call in the batch lengthens the others.
 const BATCH_COST: f64 = 0.015;
-/// Paces that differ from the mean by less than this part of it count as the same.
-const SAME_PACE: f64 = 0.4;
-/// What another failure domain adds, in milliseconds.
-const FAR_MS: f64 = 2.0;
-/// Age at which a remembered prefix has lost half its weight, in milliseconds.
-const PREFIX_TRUST_MS: f64 = 30_000.0;
-/// Weight of the time for which a target still reads prompts, since what is read holds up all that run
-/// there. With 3.5, and 8 for `REREAD_WEIGHT`, 82.5 % of 43,882 generations in four plays of 48 s at 61 to 86
-/// instances were in time, with 1.5 and 4 82.1 %; as many tokens were read again.
-const READ_WEIGHT: f64 = 3.5;
-/// What a megabyte of inputs that comes from another failure domain counts, in milliseconds: it is paid
-/// for like some 200 tokens that are read again, at `REREAD_WEIGHT`.
-const MOVED_WEIGHT: f64 = 33.0;
-const BYTES_IN_MB: f64 = 1e6;
+/// Fraction of the mean pace within which a target's pace is treated as the mean.
+const PACE_TOLERANCE: f64 = 0.4;
+/// Added time of a target in another failure domain, in milliseconds.
+const OTHER_DOMAIN_MS: f64 = 2.0;
+/// Half-life of the trust that a target still caches a prefix, in milliseconds.
+const PREFIX_HALF_LIFE_MS: f64 = 30_000.0;
+/// Weight of a target's outstanding prefill time, which delays all calls that run there.
+const PREFILL_WEIGHT: f64 = 3.5;
+/// Cost of a megabyte of inputs fetched from another failure domain, in milliseconds. Transfer is charged,
+/// so this is more than the time it takes.
+const TRANSFER_MS_PER_MB: f64 = 33.0;
+const BYTES_PER_MB: f64 = 1e6;
 
 impl Router {
-    /// Predicted time of a call at a target: its work at the target's pace, slowed a little by
-    /// each call in the batch, after a wait for those that stand before it in the queue.
+    /// Predicted cost of a call at a target, in milliseconds: queueing, its work at the target's pace
+    /// slowed by the batch, outstanding prefill, distance and transfer of inputs. `trust` is the
+    /// probability that the target caches the prefix.
     pub(super) fn predict(
         &self,
         now: Millis,
@@ -35,8 +34,8 @@
         target: &Target,
         trust: f64,
     ) -> f64 {
-        let load = f64::from(target.in_flight) + self.others(now, policy, target);
-        let pace = self.pace_of(target) * target.told.factor(now);
+        let load = f64::from(target.in_flight) + self.other_calls(now, policy, target);
+        let pace = self.pace_of(target) * target.slowdown.factor(now);
         let slots = if target.slots == 0.0 { load + 1.0 } else { target.slots };
         let ahead = (load + 1.0 - slots).max(0.0);
         let mean_work = if target.in_flight == 0 {
@@ -47,48 +46,48 @@
         let wait = ahead * mean_work * pace / slots.max(1.0);
         let saved = call.prefix_work * trust;
         let run = (call.work - saved) * pace * (1.0 + BATCH_COST * load);
-        // What is being read holds up both this call and, step by step, all that run there.
-        let reads = match call.prefix {
-            Some(_) => READ_WEIGHT * (target.reads_until - now as f64).max(0.0),
+        // Outstanding prefill delays this call and all that run there.
+        let prefill = match call.prefix {
+            Some(_) => PREFILL_WEIGHT * (target.prefill_until - now as f64).max(0.0),
             None => 0.0,
         };
-        let moved = MOVED_WEIGHT * call.moved_bytes(&target.domain) as f64 / BYTES_IN_MB;
-        run + wait + reads + self.way_ms(target) + moved
+        let transfer = TRANSFER_MS_PER_MB * call.moved_bytes(&target.domain) as f64 / BYTES_PER_MB;
+        run + wait + prefill + self.distance_ms(target) + transfer
     }
 
-    /// What the distance to a target adds, in milliseconds.
-    fn way_ms(&self, target: &Target) -> f64 {
-        if self.is_far(target) {
+    /// Added time for the distance to a target, in milliseconds.
+    fn distance_ms(&self, target: &Target) -> f64 {
+        if self.is_remote(target) {
             self.far_region_ms
         } else if target.domain == self.domain {
             0.0
         } else {
-            FAR_MS
+            OTHER_DOMAIN_MS
         }
     }
 
-    /// Whether a target stands in another region.
-    pub(super) fn is_far(&self, target: &Target) -> bool {
+    /// Whether a target is in another region.
+    pub(super) fn is_remote(&self, target: &Target) -> bool {
         self.topology.is_split() && target.region != self.topology.own_region()
     }
 
-    /// Calls of other instances at a target: what it reported, fading with the age of the report
-    /// into the mean of all targets. Fading into nothing would make a target that has not been
-    /// heard of for long look empty, and draw everyone to it.
-    pub(super) fn others(&self, now: Millis, policy: &Policy, target: &Target) -> f64 {
-        let mean = self.others.get().unwrap_or(0.0);
+    /// Calls of other instances at a target: its report, decaying with age to the mean of all
+    /// targets. Decay to zero would make a target without recent reports look idle and attract all
+    /// instances.
+    pub(super) fn other_calls(&self, now: Millis, policy: &Policy, target: &Target) -> f64 {
+        let mean = self.other_calls.get().unwrap_or(0.0);
         let Some(report) = &target.report else { return mean };
         let age = now.saturating_sub(report.at) as f64;
         let trust = 0.5_f64.powf(age / policy.report_trust_ms as f64);
-        trust * report.others + (1.0 - trust) * mean
+        trust * report.other_calls + (1.0 - trust) * mean
     }
 
-    /// Pace of a target; the mean of all where it is unknown or not clearly another. Small
-    /// differences are noise, and following them sends everyone to the target that was lucky.
+    /// Pace of a target, or the mean pace where it is unknown or close to the mean. Small differences
+    /// are noise, and following them would concentrate calls on one target.
     pub(super) fn pace_of(&self, target: &Target) -> f64 {
         let mean = self.mean_pace();
-        let is_clear = mean * SAME_PACE < (target.pace - mean).abs();
-        if target.pace != 0.0 && is_clear { target.pace } else { mean }
+        let is_distinct = mean * PACE_TOLERANCE < (target.pace - mean).abs();
+        if target.pace != 0.0 && is_distinct { target.pace } else { mean }
     }
 
     pub(super) fn mean_pace(&self) -> f64 {
@@ -97,14 +96,13 @@
 }
 
 impl Target {
-    /// Pace, where it is known.
+    /// Pace, if known.
     pub(super) fn known_pace(&self) -> Option<f64> {
         (0.0 < self.pace).then_some(self.pace)
     }
 }
 
-/// A mean that is kept up to date value by value. Summed up anew for each target that is compared, the mean
-/// pace of 5,634 engines took 32 million additions a prompt.
+/// A mean that is updated incrementally, since it is needed for each target that is compared.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Mean {
     sum: f64,
@@ -112,7 +110,7 @@
 }
 
 impl Mean {
-    /// Puts a value in the place of another, where there are any.
+    /// Replaces one value by another; `None` for no value.
     pub(super) fn replace(&mut self, before: Option<f64>, after: Option<f64>) {
         self.count = self.count + u32::from(after.is_some()) - u32::from(before.is_some());
         self.sum += after.unwrap_or(0.0) - before.unwrap_or(0.0);
@@ -121,28 +119,30 @@
         }
     }
 
-    /// The mean; `None` of no values.
+    /// The mean; `None` without values.
     pub(super) fn get(self) -> Option<f64> {
         (self.count != 0).then(|| self.sum / f64::from(self.count))
     }
 }
 
-/// Learns the pace from a call's time, less the wait that the queue of its time explains.
-/// What the target has told of its pace is taken out, so that a moment in which it was slow does not count
-/// twice when the next call is predicted.
-pub(super) fn learn_pace(now: Millis, target: &mut Target, work: f64, ms: Millis) {
-    let others = target.report.as_ref().map_or(0.0, |it| it.others);
-    let load = f64::from(target.in_flight) + others;
+/// Updates the pace of a target from the time of a call, divided by the slowdown that its queue, its batch and
+/// its reported pace explain. The reported pace is divided out because `predict` multiplies by it again.
+pub(super) fn update_pace(now: Millis, target: &mut Target, work: f64, ms: Millis) {
+    let other_calls = target.report.as_ref().map_or(0.0, |it| it.other_calls);
+    let load = f64::from(target.in_flight) + other_calls;
     let queued = if target.slots == 0.0 { 1.0 } else { (load / target.slots).max(1.0) };
-    let slowed = queued * (1.0 + BATCH_COST * load.min(target.slots.max(1.0)));
-    let slowed = slowed * target.told.factor(now);
-    let seen = (ms as f64).max(0.1) / (work.max(0.001) * slowed);
-    target.pace =
-        if target.pace == 0.0 { seen } else { target.pace + NEWEST * (seen - target.pace) };
+    let slowdown = queued * (1.0 + BATCH_COST * load.min(target.slots.max(1.0)));
+    let slowdown = slowdown * target.slowdown.factor(now);
+    let measured = (ms as f64).max(0.1) / (work.max(0.001) * slowdown);
+    target.pace = if target.pace == 0.0 {
+        measured
+    } else {
+        target.pace + PACE_WEIGHT * (measured - target.pace)
+    };
 }
 
-/// How far the target may be trusted to hold the call's prefix, from 0 to 1.
+/// Trust that the target caches the call's prefix, from 0 to 1; decays with the time since its last use.
 pub(super) fn prefix_trust(target: &Target, call: &Call<'_>, now: Millis) -> f64 {
-    let Some(seen) = call.prefix.and_then(|it| target.prefixes.get(&it)) else { return 0.0 };
-    0.5_f64.powf(now.saturating_sub(*seen) as f64 / PREFIX_TRUST_MS)
+    let Some(measured) = call.prefix.and_then(|it| target.prefixes.get(&it)) else { return 0.0 };
+    0.5_f64.powf(now.saturating_sub(*measured) as f64 / PREFIX_HALF_LIFE_MS)
 }
