--- a/crates/holdpoint-core/src/choice.rs
+++ b/crates/holdpoint-core/src/choice.rs
@@ -89,7 +89,7 @@
 /// Why no target can be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoTarget {
-    /// Every target of the pool is draining, or it has none.
+    /// The pool has no target, or only draining ones.
     Empty,
     /// Every target was tried for this call.
     Tried,
--- a/crates/holdpoint-core/src/route.rs
+++ b/crates/holdpoint-core/src/route.rs
@@ -32,8 +32,8 @@
 
 /// Upper bound of the prefixes tracked for one target.
 const MAX_PREFIXES: usize = 512;
-/// Upper bound of the prefill time per unit of work, in milliseconds. The mean pace starts at a default
-/// until calls have been measured.
+/// Upper bound of the prefill time per unit of work, in milliseconds. The default of the mean pace, used
+/// until calls have been measured, is far higher.
 const MAX_PREFILL_PACE_MS: f64 = 0.05;
 /// Upper bound of the doublings of the ejection time.
 const MAX_EJECT_DOUBLINGS: u32 = 5;
@@ -78,7 +78,7 @@
     backoff_until: Millis,
 }
 
-/// Routes the calls of one instance to one pool.
+/// Routes the calls of one instance to the targets of one pool.
 #[derive(Debug)]
 pub struct Router {
     salt: String,
--- a/crates/holdpoint-core/src/route/affinity.rs
+++ b/crates/holdpoint-core/src/route/affinity.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, RngExt};
 
 use super::{Call, Router, lowest_score, predict::prefix_trust};
-use crate::{ids::Millis, subset::paired_weight};
+use crate::{ids::Millis, subset::hashed_weight};
 
 /// Probability at which the first home of a prefix is taken to cache it.
 const FIRST_HOME_TRUST: f64 = 0.9;
@@ -98,7 +98,7 @@
         let mut homes = [None, None];
         let mut weights = [0, 0];
         for it in candidates {
-            let weight = paired_weight(prefix, self.targets[*it].hash);
+            let weight = hashed_weight(prefix, self.targets[*it].hash);
             if weights[0] <= weight {
                 (homes[1], weights[1]) = (homes[0], weights[0]);
                 (homes[0], weights[0]) = (Some(*it), weight);
--- a/crates/holdpoint-core/src/subset.rs
+++ b/crates/holdpoint-core/src/subset.rs
@@ -2,26 +2,25 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Weight of `item` for `key`: the highest one is chosen.
+/// Rendezvous weight of `item` for `key`; the highest weight is chosen.
 pub fn weight(key: &str, item: &str) -> u64 {
     xxh3_64(format!("{key}\n{item}").as_bytes())
 }
 
-/// Hash of an item, for [`paired_weight`].
+/// Hash of an item, for [`hashed_weight`].
 pub fn item_hash(item: &str) -> u64 {
     xxh3_64(item.as_bytes())
 }
 
-/// Weight of an item, given by its hash, for a key that is a hash: sixteen bytes are hashed, however long the
-/// names are, and no text is made for each of thousands of items.
-pub fn paired_weight(key: u64, item: u64) -> u64 {
+/// Weight of an item for a key, both given by their hashes. Avoids formatting a string for each item.
+pub fn hashed_weight(key: u64, item: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
     bytes[8..].copy_from_slice(&item.to_le_bytes());
     xxh3_64(&bytes)
 }
 
-/// The item chosen for a key; all who know the same items choose the same one.
+/// The item of highest weight for a key, the same on all instances that know the same items.
 pub fn owner<'a>(key: &str, items: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     items.max_by_key(|it| (weight(key, it), *it))
 }
