--- a/crates/holdpoint-core/src/retry.rs
+++ b/crates/holdpoint-core/src/retry.rs
@@ -1,12 +1,12 @@
-//! A budget that keeps retries from amplifying an outage.
+//! A retry budget, which keeps retries from amplifying an outage.
 
-/// Retries that may be saved up while all goes well.
-const BURST: f64 = 5.0;
+/// Upper bound of the retries saved up.
+const MAX_TOKENS: f64 = 5.0;
 
 /// Allows retries as a share of first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    tokens: f64,
 }
 
 impl Default for RetryBudget {
@@ -16,22 +16,22 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget with a small allowance saved, so that the first failure can be retried.
+    /// Creates a full budget, so that the first failures can be retried.
     pub fn new() -> RetryBudget {
-        RetryBudget { saved: BURST }
+        RetryBudget { tokens: MAX_TOKENS }
     }
 
-    /// Counts a first attempt, which earns `percent` of a retry.
+    /// Records a first attempt, which adds `percent` of a retry to the budget.
     pub fn first(&mut self, percent: u32) {
-        self.saved = (self.saved + f64::from(percent) / 100.0).min(BURST);
+        self.tokens = (self.tokens + f64::from(percent) / 100.0).min(MAX_TOKENS);
     }
 
-    /// Spends one retry where the budget has it.
+    /// Spends one retry; `false` if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/holdpoint-core/src/returns.rs
+++ b/crates/holdpoint-core/src/returns.rs
@@ -1,25 +1,25 @@
-//! When requests that are refused may come back.
+//! Spreads the retry times of refused requests at the pace of the free capacity.
 
 use crate::ids::Millis;
 
-/// Time over which they are spread, in milliseconds: callers wait no longer.
-const SPREAD_MS: f64 = 30_000.0;
+/// Upper bound of the delay added by spreading, in milliseconds: callers wait no longer.
+const MAX_SPREAD_MS: f64 = 30_000.0;
 
-/// The times at which refused requests may come back, one after the other.
+/// Schedule of retry times for refused requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Returns {
-    next: f64,
+    next_slot: f64,
 }
 
 impl Returns {
-    /// When the next one may come back, in milliseconds, where there is room for one in `soonest` at the earliest and
-    /// for another one each `gap_ms`. A caller that is refused again takes another turn; so the turns begin anew
-    /// where they are further off than callers wait.
+    /// Retry delay of the next refused request, in milliseconds. `soonest` is the delay until there is capacity for
+    /// one request, `gap_ms` the time between two. The schedule restarts when it is further ahead than callers wait,
+    /// since a caller that is refused again takes another slot.
     pub fn take(&mut self, now: Millis, soonest: Millis, gap_ms: f64) -> Millis {
         let earliest = (now + soonest) as f64;
-        let turn = self.next.max(earliest);
-        let at = if earliest + SPREAD_MS < turn { earliest } else { turn };
-        self.next = at + gap_ms;
+        let slot = self.next_slot.max(earliest);
+        let at = if earliest + MAX_SPREAD_MS < slot { earliest } else { slot };
+        self.next_slot = at + gap_ms;
         at as Millis - now
     }
 }
