--- a/crates/holdpoint-core/src/promises.rs
+++ b/crates/holdpoint-core/src/promises.rs
@@ -1,14 +1,12 @@
-//! What later stages will have to do for requests that are already admitted.
+//! Predicted queues of later stages, from the work of requests that are already admitted.
 //!
-//! The batcher of a request's first stage admits it. The batchers of the stages after that one tell how
-//! much waits there and how fast it is made; what was admitted since, and has not arrived there yet,
-//! only the admitting batcher knows. It keeps an account of that for each service: pieces by the moment
-//! when they are expected, drained at the pace that was told. The account answers a burst on requests
-//! with several stages, whose first stage is quick: the queue builds up at the second one, unseen from the
-//! first, until all that is in it is late.
+//! The batcher of a request's first stage admits it. The batchers of later stages report their queue and
+//! throughput. Work admitted since the last report, and not there yet, is known only to the admitting
+//! batcher, which records it by expected arrival and drains it at the reported throughput. Otherwise a fast
+//! first stage would admit a burst that makes everything late at the second stage.
 //!
-//! Whatever is told replaces what was expected by then, so an account that is wrong, since another
-//! instance admits too or a request has ended, is put right with the next word of the batcher.
+//! A report replaces what was predicted up to then. This corrects errors such as admissions by other
+//! instances and requests that ended early.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,55 +17,55 @@
     returns::Returns,
 };
 
-/// Age up to which what a batcher has told counts, in milliseconds: it tells every 250 ms, and two of these
-/// may be lost. After that its stages are taken to need the usual time.
-const TOLD_MS: Millis = 800;
-/// Width of the spans that expected pieces are counted by, in milliseconds: small against a call.
-const SPAN_MS: Millis = 10;
-/// Longest time that an account looks ahead, in milliseconds; bounds what it keeps.
+/// Maximum age of a load report, in milliseconds. A report comes every 250 ms, and two may be lost. Without a
+/// recent one, stages are assumed to take their usual time.
+const MAX_REPORT_AGE_MS: Millis = 800;
+/// Bucket width of the expected arrivals, in milliseconds: short compared to a call.
+const BUCKET_MS: Millis = 10;
+/// Upper bound of an expected arrival from now, in milliseconds; bounds the number of buckets.
 const HORIZON_MS: Millis = 10_000;
-/// How far ahead an account predicts a queue to be judged by what is told then, in milliseconds: within the
-/// time that any stage takes, so that all that arrives by then is already promised.
+/// How far ahead a queue is forecast for comparison with a later report, in milliseconds. Shorter than any
+/// stage, so that everything that arrives by then is already recorded.
 const FORECAST_MS: Millis = 150;
-/// Weight of the newest such judgement: several of them, as calls of different sizes make queues uneven.
-const NEWEST_JUDGEMENT: f64 = 0.2;
-/// Time over which promises are counted for the time that they leave at present, in milliseconds: a few calls.
-const PRESENT_MS: f64 = 1000.0;
-/// The same for the time that they leave in the long run: as long as late requests have until their callers
-/// leave.
-const LASTING_MS: f64 = 4000.0;
-/// Longest time of a stage that is reckoned with, in milliseconds.
-const LONGEST_MS: f64 = 60_000.0;
-/// Largest figure of a load that is believed: a minute, or so many pieces.
-const MOST_FIGURE: f64 = 1e6;
-/// Most services that accounts are kept of.
-const MOST_ACCOUNTS: usize = 256;
+/// EWMA weight of the newest forecast error. Low, since calls of different sizes make queues uneven.
+const RESIDUAL_WEIGHT: f64 = 0.2;
+/// Time constant of the recent rate of admitted work, in milliseconds: a few calls long.
+const RECENT_MS: f64 = 1000.0;
+/// Time constant of the long-run rate of admitted work, in milliseconds: about as long as late requests may
+/// take.
+const LONG_RUN_MS: f64 = 4000.0;
+/// Upper bound of the estimated time of a stage, in milliseconds.
+const MAX_STAGE_MS: f64 = 60_000.0;
+/// Upper bound of each value of a valid load report, in milliseconds or items.
+const MAX_VALUE: f64 = 1e6;
+/// Upper bound of the services tracked.
+const MAX_SERVICES: usize = 256;
 
-/// The load of a service's stage, as the instance that batches it tells.
+/// Load of a service's stage, as reported by the instance that batches it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageLoad {
-    /// Pieces that its usable targets make in a millisecond where calls are full.
+    /// Throughput of its usable targets with full calls, in items per millisecond.
     pub per_ms: f64,
-    /// Pieces that wait and can be in time.
+    /// Waiting items that can be in time.
     pub waiting: f64,
-    /// Pieces that wait and will be late.
+    /// Waiting items that will be late.
     pub late: f64,
-    /// Time from the start of a piece's call to its result, as of late, in milliseconds.
+    /// Recent time from the start of an item's call to its result, in milliseconds.
     pub call_ms: f64,
-    /// The same where its call is full.
+    /// The same for a full call, in milliseconds.
     pub full_ms: f64,
-    /// Most pieces in a call.
+    /// Upper bound of the items in a call.
     pub most: f64,
-    /// How much longer than predicted pieces took of late, in milliseconds.
+    /// Recent mean of the actual minus the predicted time of items, in milliseconds.
     pub bias_ms: f64,
-    /// Mean distance from that, in milliseconds.
+    /// Mean deviation from `bias_ms`, in milliseconds.
     pub spread_ms: f64,
 }
 
 impl StageLoad {
-    /// Whether every figure can be reckoned with.
-    fn is_sane(&self) -> bool {
-        let positive = [
+    /// Whether every value is finite and within its bounds.
+    fn is_valid(&self) -> bool {
+        let unsigned = [
             self.per_ms,
             self.waiting,
             self.late,
@@ -76,129 +74,129 @@
             self.most,
             self.spread_ms,
         ];
-        let is_bounded = |it: &f64| it.is_finite() && (0.0..=MOST_FIGURE).contains(it);
-        positive.iter().all(is_bounded) && is_bounded(&self.bias_ms.abs())
+        let is_bounded = |it: &f64| it.is_finite() && (0.0..=MAX_VALUE).contains(it);
+        unsigned.iter().all(is_bounded) && is_bounded(&self.bias_ms.abs())
     }
 
-    /// Time of a piece that comes when so many others wait before it, in milliseconds.
+    /// Expected time of an item with `ahead` items waiting before it, in milliseconds.
     pub fn expected_ms(&self, ahead: f64) -> f64 {
-        (self.reckoned_ms(ahead) + self.bias_ms).clamp(0.0, LONGEST_MS)
+        (self.reckoned_ms(ahead) + self.bias_ms).clamp(0.0, MAX_STAGE_MS)
     }
 
-    /// The same by capacity alone, whatever pieces took of late.
+    /// The same from throughput and call times alone, without `bias_ms`.
     pub fn reckoned_ms(&self, ahead: f64) -> f64 {
         let fullness = (ahead / self.most.max(1.0)).min(1.0);
         let call = self.call_ms + fullness * (self.full_ms - self.call_ms).max(0.0);
-        (ahead / self.per_ms + call).clamp(0.0, LONGEST_MS)
+        (ahead / self.per_ms + call).clamp(0.0, MAX_STAGE_MS)
     }
 }
 
-/// A stage that comes after the one that a request asks for.
+/// A later stage of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageAhead {
-    /// Its service.
+    /// Service of the stage.
     pub service: Name,
-    /// Its pieces.
+    /// Number of work items.
     pub pieces: u32,
-    /// How many stages of the request come before it, the one asked for included.
+    /// Number of the request's stages before it, including the current one.
     pub depth: u32,
-    /// How long it usually takes, for a batcher that has heard nothing of the service, in milliseconds.
+    /// Usual time of the stage, used without a recent load report, in milliseconds.
     pub usual_ms: Millis,
 }
 
-/// When a request's stages are expected to be made.
+/// Estimated times of a request's stages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Expected {
-    /// Time until the results of the last one are there, in milliseconds.
+    /// Time until the last stage ends, in milliseconds.
     pub ms: f64,
-    /// How far the truth may well be from that, in milliseconds.
+    /// Expected error of `ms`, in milliseconds.
     pub spread_ms: f64,
-    /// Time until the pieces of each stage ahead are offered, in milliseconds, in the order of the stages.
+    /// Time until the items of each later stage arrive, in milliseconds, in the order of the stages.
     pub arrivals: Vec<f64>,
-    /// The stage ahead whose pieces wait longest, and how long in milliseconds.
+    /// Service of the later stage with the longest wait, and that wait in milliseconds.
     pub longest_wait: Option<(Name, f64)>,
-    /// Least part of the targets' time that no request in time is promised at present, over all stages.
+    /// Fraction of capacity that the recent rate of in-time work leaves spare, the lowest of all later stages.
     pub spare: f64,
-    /// The same in the long run.
-    pub lasting_spare: f64,
-    /// Time that the work promised to late requests takes at the stage with most of it, in milliseconds.
+    /// The same for the long-run rate.
+    pub long_spare: f64,
+    /// Time to serve the late work of the later stage with the most of it, in milliseconds.
     pub late_ms: f64,
 }
 
-/// Account of one service.
+/// Predicted queue of one service.
 #[derive(Clone, Debug, Default)]
-struct Account {
+struct ServiceQueue {
     load: StageLoad,
-    told: Millis,
-    /// Pieces expected after that, by span.
-    expected: BTreeMap<Millis, f64>,
-    /// Pieces of late requests admitted after that.
+    reported: Millis,
+    /// Items expected to arrive after the report, by bucket of `BUCKET_MS`.
+    arrivals: BTreeMap<Millis, f64>,
+    /// Items of late requests admitted after the report.
     late: f64,
-    /// When the queue was predicted for, and how many pieces.
+    /// Time that the queue was forecast for, and the forecast number of items.
     forecast: Option<(Millis, f64)>,
-    /// How many more pieces wait than predicted, as of late. Without a backlog it is what gathers while
-    /// targets work on small calls.
+    /// EWMA of the reported minus the forecast queue, in items. Without a backlog it reflects the items that
+    /// collect while targets run small calls.
     residual: f64,
-    /// Pieces promised in time, a millisecond, at present and in the long run.
-    promised: PromisedRate,
-    lasting: PromisedRate,
-    /// When requests that were refused because of it may come back.
+    /// Items admitted in time per millisecond, recently and in the long run.
+    recent_rate: AdmittedRate,
+    long_rate: AdmittedRate,
+    /// Retry times of the requests refused because of this service.
     returns: Returns,
 }
 
-/// Accounts of the stages that requests admitted here come to later.
+/// Predicted queues of the later stages of requests admitted here.
 #[derive(Clone, Debug, Default)]
 pub struct Promises {
-    accounts: HashMap<Name, Account>,
+    queues: HashMap<Name, ServiceQueue>,
 }
 
 impl Promises {
-    /// Takes in the load that the batcher of a service tells. What makes no sense is not taken in; returns
-    /// whether it was. A service without capacity has no account, and its stages are taken to need the
-    /// usual time: a target may be back by then.
+    /// Applies a load report of a service. Returns `false` if it is invalid, or new and too many services are
+    /// tracked. A service without throughput is not tracked: its stages are assumed to take their usual time,
+    /// since a target may be available again by then.
     pub fn told(&mut self, now: Millis, service: &str, load: StageLoad) -> bool {
-        let is_new = !self.accounts.contains_key(service);
-        if !load.is_sane() || (is_new && MOST_ACCOUNTS <= self.accounts.len()) {
+        let is_new = !self.queues.contains_key(service);
+        if !load.is_valid() || (is_new && MAX_SERVICES <= self.queues.len()) {
             return false;
         }
         if load.per_ms == 0.0 {
-            self.accounts.remove(service);
+            self.queues.remove(service);
             return true;
         }
-        let account = self.accounts.entry(service.to_owned()).or_default();
-        account.told(now, load);
+        let queue = self.queues.entry(service.to_owned()).or_default();
+        queue.apply_report(now, load);
         true
     }
 
-    /// When the stages ahead are made of a request whose present stage takes `own_ms`.
+    /// Estimates the later stages of a request whose current stage takes `own_ms`.
     pub fn expect(&self, now: Millis, own_ms: f64, ahead: &[StageAhead]) -> Expected {
         let mut expected =
-            Expected { ms: own_ms, spare: 1.0, lasting_spare: 1.0, ..Expected::default() };
+            Expected { ms: own_ms, spare: 1.0, long_spare: 1.0, ..Expected::default() };
         expected.arrivals = vec![own_ms; ahead.len()];
         let mut variance = 0.0;
         let deepest = ahead.iter().map(|it| it.depth).max().unwrap_or(0);
         for depth in 1..=deepest {
             let arrival = expected.ms;
-            // Stages at one depth are made side by side.
+            // Stages of the same depth run in parallel.
             for (index, stage) in ahead.iter().enumerate().filter(|it| it.1.depth == depth) {
                 expected.arrivals[index] = arrival;
-                let own = self.of(now, &stage.service);
-                let Some(account) = own else {
+                let known = self.recent(now, &stage.service);
+                let Some(queue) = known else {
                     expected.ms = expected.ms.max(arrival + stage.usual_ms as f64);
                     continue;
                 };
-                let waiting = account.waiting_at(now + arrival as Millis);
-                let ms = account.load.expected_ms(waiting + f64::from(stage.pieces) / 2.0);
+                let waiting = queue.waiting_at(now + arrival as Millis);
+                let ms = queue.load.expected_ms(waiting + f64::from(stage.pieces) / 2.0);
                 expected.ms = expected.ms.max(arrival + ms);
-                expected.note(stage, account, now, waiting);
-                variance += account.load.spread_ms.powi(2);
+                expected.add_stage(stage, queue, now, waiting);
+                variance += queue.load.spread_ms.powi(2);
             }
         }
         expected.spread_ms = variance.sqrt();
         expected
     }
 
-    /// Takes in that a request was admitted whose stages ahead are expected so.
+    /// Records the later stages of an admitted request, at the arrivals of `expected`.
     pub fn promise(
         &mut self,
         now: Millis,
@@ -207,79 +205,79 @@
         is_late: bool,
     ) {
         for (stage, arrival) in ahead.iter().zip(&expected.arrivals) {
-            let Some(account) = self.accounts.get_mut(&stage.service) else { continue };
-            let pieces = f64::from(stage.pieces);
+            let Some(queue) = self.queues.get_mut(&stage.service) else { continue };
+            let items = f64::from(stage.pieces);
             if is_late {
-                account.late += pieces;
+                queue.late += items;
                 continue;
             }
             let arrival = (*arrival as Millis).min(HORIZON_MS);
-            *account.expected.entry((now + arrival) / SPAN_MS).or_default() += pieces;
-            account.promised.count(now, pieces, PRESENT_MS);
-            account.lasting.count(now, pieces, LASTING_MS);
+            *queue.arrivals.entry((now + arrival) / BUCKET_MS).or_default() += items;
+            queue.recent_rate.count(now, items, RECENT_MS);
+            queue.long_rate.count(now, items, LONG_RUN_MS);
         }
     }
 
-    /// When a request may come back that a service's queue has refused, in milliseconds: `excess` later, and
-    /// after those that were refused before it, at the pace of the service.
-    pub fn return_ms(&mut self, now: Millis, service: &str, excess: Millis, pieces: u32) -> Millis {
-        let Some(account) = self.accounts.get_mut(service) else { return excess };
-        account.returns.take(now, excess, f64::from(pieces) / account.load.per_ms)
+    /// Retry delay of a request refused because of a service's queue, in milliseconds: at least `excess`, and
+    /// after the requests refused before it, at the service's throughput.
+    pub fn return_ms(&mut self, now: Millis, service: &str, excess: Millis, items: u32) -> Millis {
+        let Some(queue) = self.queues.get_mut(service) else { return excess };
+        queue.returns.take(now, excess, f64::from(items) / queue.load.per_ms)
     }
 
-    /// Pieces that are expected at a service and have not been told of, in time and late ones together.
+    /// Items admitted for a service since its last report, in time and late ones together.
     pub fn outstanding(&self, service: &str) -> f64 {
-        self.accounts.get(service).map_or(0.0, |it| it.expected.values().sum::<f64>() + it.late)
+        self.queues.get(service).map_or(0.0, |it| it.arrivals.values().sum::<f64>() + it.late)
     }
 
-    fn of(&self, now: Millis, service: &str) -> Option<&Account> {
-        self.accounts.get(service).filter(|it| now <= it.told + TOLD_MS)
+    fn recent(&self, now: Millis, service: &str) -> Option<&ServiceQueue> {
+        self.queues.get(service).filter(|it| now <= it.reported + MAX_REPORT_AGE_MS)
     }
 }
 
 impl Expected {
-    fn note(&mut self, stage: &StageAhead, account: &Account, now: Millis, waiting: f64) {
-        let per_ms = account.load.per_ms;
+    fn add_stage(&mut self, stage: &StageAhead, queue: &ServiceQueue, now: Millis, waiting: f64) {
+        let per_ms = queue.load.per_ms;
         let wait = waiting / per_ms;
         if self.longest_wait.as_ref().is_none_or(|it| it.1 < wait) {
             self.longest_wait = Some((stage.service.clone(), wait));
         }
-        self.spare = self.spare.min(1.0 - account.promised.at(now, PRESENT_MS) / per_ms);
-        let lasting = 1.0 - account.lasting.at(now, LASTING_MS) / per_ms;
-        self.lasting_spare = self.lasting_spare.min(lasting);
-        self.late_ms = self.late_ms.max((account.load.late + account.late) / per_ms);
+        self.spare = self.spare.min(1.0 - queue.recent_rate.at(now, RECENT_MS) / per_ms);
+        let long_spare = 1.0 - queue.long_rate.at(now, LONG_RUN_MS) / per_ms;
+        self.long_spare = self.long_spare.min(long_spare);
+        self.late_ms = self.late_ms.max((queue.load.late + queue.late) / per_ms);
     }
 }
 
-impl Account {
-    fn told(&mut self, now: Millis, load: StageLoad) {
+impl ServiceQueue {
+    fn apply_report(&mut self, now: Millis, load: StageLoad) {
         if let Some((_, predicted)) = self.forecast.take_if(|it| it.0 <= now) {
-            self.residual += NEWEST_JUDGEMENT * (load.waiting - predicted - self.residual);
+            self.residual += RESIDUAL_WEIGHT * (load.waiting - predicted - self.residual);
         }
         self.load = load;
-        self.told = now;
+        self.reported = now;
         self.late = 0.0;
-        self.expected = self.expected.split_off(&(now / SPAN_MS + 1));
+        self.arrivals = self.arrivals.split_off(&(now / BUCKET_MS + 1));
         if self.forecast.is_none() {
             let at = now + FORECAST_MS;
-            self.forecast = Some((at, self.reckoned_at(at)));
+            self.forecast = Some((at, self.modelled_at(at)));
         }
     }
 
-    /// Pieces that wait at a time, as far as it was told and promised.
+    /// Predicted number of waiting items at a time, corrected by the recent forecast error.
     fn waiting_at(&self, at: Millis) -> f64 {
-        (self.reckoned_at(at) + self.residual).max(0.0)
+        (self.modelled_at(at) + self.residual).max(0.0)
     }
 
-    fn reckoned_at(&self, at: Millis) -> f64 {
+    fn modelled_at(&self, at: Millis) -> f64 {
         let mut waiting = self.load.waiting;
-        let mut time = self.told;
-        for (span, pieces) in &self.expected {
-            let arrival = span * SPAN_MS;
+        let mut time = self.reported;
+        for (bucket, items) in &self.arrivals {
+            let arrival = bucket * BUCKET_MS;
             if at < arrival {
                 break;
             }
-            waiting = self.drained(waiting, time, arrival) + pieces;
+            waiting = self.drained(waiting, time, arrival) + items;
             time = time.max(arrival);
         }
         self.drained(waiting, time, at)
@@ -290,20 +288,20 @@
     }
 }
 
-/// How much was promised of late; what is older counts less and less.
+/// Recent rate of admitted items, with exponentially decaying weights.
 #[derive(Clone, Copy, Debug, Default)]
-struct PromisedRate {
+struct AdmittedRate {
     per_ms: f64,
     counted: Millis,
 }
 
-impl PromisedRate {
-    fn at(&self, now: Millis, span_ms: f64) -> f64 {
-        self.per_ms * (-(now.saturating_sub(self.counted) as f64) / span_ms).exp()
+impl AdmittedRate {
+    fn at(&self, now: Millis, decay_ms: f64) -> f64 {
+        self.per_ms * (-(now.saturating_sub(self.counted) as f64) / decay_ms).exp()
     }
 
-    fn count(&mut self, now: Millis, pieces: f64, span_ms: f64) {
-        self.per_ms = self.at(now, span_ms) + pieces / span_ms;
+    fn count(&mut self, now: Millis, items: f64, decay_ms: f64) {
+        self.per_ms = self.at(now, decay_ms) + items / decay_ms;
         self.counted = now;
     }
 }
--- a/crates/holdpoint-core/src/regions.rs
+++ b/crates/holdpoint-core/src/regions.rs
@@ -1,32 +1,32 @@
-//! Which region's targets serve a request: those of the own region where it has all that the
-//! request needs, else those of another one for the whole chain of its stages, so that no result
-//! has to cross the link between regions.
+//! Selects the region that serves a request: the first in order of preference with targets for all of its
+//! services. One region serves the whole chain of stages, so that no result crosses the link between
+//! regions.
 
 use std::collections::BTreeMap;
 
 use crate::ids::Name;
 
-/// The usable targets of each service by region.
+/// Number of usable targets of each service by region.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceRegions {
     counts: BTreeMap<Name, BTreeMap<Name, usize>>,
 }
 
 impl ServiceRegions {
-    /// Counts usable targets, each given by its service and its region.
+    /// Counts usable targets, given as pairs of service and region.
     pub fn new<'a>(usable: impl Iterator<Item = (&'a str, &'a str)>) -> ServiceRegions {
         let mut counts: BTreeMap<Name, BTreeMap<Name, usize>> = BTreeMap::new();
         for (service, region) in usable {
-            let of_service = counts.entry(service.to_owned()).or_default();
-            *of_service.entry(region.to_owned()).or_default() += 1;
+            let by_region = counts.entry(service.to_owned()).or_default();
+            *by_region.entry(region.to_owned()).or_default() += 1;
         }
         ServiceRegions { counts }
     }
 
     /// Number of usable targets of a service in a region.
     pub fn usable(&self, service: &str, region: &str) -> usize {
-        let of_service = self.counts.get(service);
-        of_service.and_then(|it| it.get(region)).copied().unwrap_or(0)
+        let by_region = self.counts.get(service);
+        by_region.and_then(|it| it.get(region)).copied().unwrap_or(0)
     }
 
     /// Number of usable targets of all services in a region.
@@ -34,14 +34,13 @@
         self.counts.values().filter_map(|it| it.get(region)).sum()
     }
 
-    /// Whether a region has a usable target of each of some services.
+    /// Whether a region has a usable target of each service.
     pub fn serves(&self, region: &str, services: &[&str]) -> bool {
         services.iter().all(|it| self.usable(it, region) != 0)
     }
 
-    /// The region that serves a request which needs some services: the first of `regions` that may
-    /// serve it and has targets of all of them. `None` where there is none, and each service is served
-    /// from wherever it has targets.
+    /// The region that serves a request for some services: the first of `regions` that may serve it and
+    /// has targets of all of them. `None` if there is none; each service is then served by any region.
     pub fn home<'a>(
         &self,
         regions: impl IntoIterator<Item = &'a str>,
