--- a/crates/holdpoint-core/src/deadline.rs
+++ b/crates/holdpoint-core/src/deadline.rs
@@ -1,39 +1,38 @@
-//! One deadline over many stages: what each may use, and when to give up.
+//! Divides a request's deadline among its stages, and keeps the recent time statistics that this needs.
 
 use hdrhistogram::Histogram;
 
 use crate::ids::Millis;
 
-/// Quantile of the patience that is taken for its upper end.
-const HIGH_PATIENCE: f64 = 0.95;
-/// How far the lowest patience of those who ask first lies below the upper end, in parts of the way from there to the
-/// middle: as far below the middle as the upper end is above, and a tenth more.
-const SPREAD_BELOW: f64 = 2.2;
-/// How much wider the spread is taken to be where little is known, as a part for one measurement; it goes with the
-/// root of their number, as errors of a quantile do.
-const FEW: f64 = 1.5;
-/// Part of a patience by which what is read of it may be wrong, the way of the request included.
-const PATIENCE_ERROR: f64 = 0.02;
-
-/// How long one half of the measurements is gathered, in milliseconds.
-const TURN_MS: Millis = 10_000;
-/// Fewest measurements that a quantile is taken from.
-const LEAST: u64 = 20;
-/// Longest time measured, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
-
-/// Time over which a [`RecentRate`] counts, in milliseconds: a few calls, so that a surge is noticed while
-/// it grows and forgotten soon after its end.
-const RATE_MS: f64 = 1000.0;
-/// Weight of the newest measurement in a [`RecentTime`]. Bursts last for seconds, and so does what
-/// is remembered.
-const NEWEST: f64 = 0.5;
-/// Age at which what a [`RecentTime`] remembers has lost half its weight, in milliseconds.
-const TRUST_MS: f64 = 700.0;
-
-/// A time as it was of late; it fades into the usual one when nothing is measured any more.
+/// Quantile of the callers' timeouts used as their upper end.
+const UPPER_QUANTILE: f64 = 0.95;
+/// Distance from the upper end of first attempts' timeouts to their lower end, as a multiple of that from the upper
+/// end to the median: symmetric about the median, with a small margin.
+const SPREAD_FACTOR: f64 = 2.2;
+/// Widening of that distance at one sample, as a fraction. It shrinks with the square root of the number of samples,
+/// as the error of a quantile does.
+const SMALL_SAMPLE_FACTOR: f64 = 1.5;
+/// Relative error allowed in a received timeout, transit time included.
+const TIMEOUT_ERROR: f64 = 0.02;
+
+/// Length of each of the two windows of measurements, in milliseconds.
+const WINDOW_MS: Millis = 10_000;
+/// Minimum number of measurements for a quantile.
+const MIN_SAMPLES: u64 = 20;
+/// Upper bound of a recorded time, in milliseconds.
+const MAX_MS: u64 = 600_000;
+
+/// Time constant of [`RecentRate`], in milliseconds: a few calls long, to follow the start and the end of a
+/// surge.
+const RATE_TIME_MS: f64 = 1000.0;
+/// EWMA weight of the newest measurement in a [`RecentTime`].
+const TIME_WEIGHT: f64 = 0.5;
+/// Half-life of a [`RecentTime`] without new measurements, in milliseconds: shorter than a burst.
+const HALF_LIFE_MS: f64 = 700.0;
+
+/// Moving average of a time, which decays to the usual one without new measurements.
 ///
-/// Without that, a long time that leads to refusals would stay for good: what is refused is not
+/// Without the decay, a long time that leads to refusals would persist, since refused requests are not
 /// measured.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecentTime {
@@ -44,27 +43,28 @@
 impl RecentTime {
     /// Records a time.
     pub fn record(&mut self, now: Millis, ms: Millis) {
-        let seen = ms as f64;
-        self.ms = if self.measured == 0 { seen } else { self.ms + NEWEST * (seen - self.ms) };
+        let newest = ms as f64;
+        self.ms =
+            if self.measured == 0 { newest } else { self.ms + TIME_WEIGHT * (newest - self.ms) };
         self.measured = now;
     }
 
-    /// How long ago a time was recorded, in milliseconds; none where there was none.
+    /// Age of the last measurement, in milliseconds; `None` without one.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         (self.measured != 0).then(|| now.saturating_sub(self.measured))
     }
 
-    /// The time of late, where it usually is `usual`, in milliseconds.
+    /// The recent time, in milliseconds; decays to `usual`.
     pub fn get(&self, now: Millis, usual: Millis) -> Millis {
         if self.measured == 0 {
             return usual;
         }
-        let trust = 0.5_f64.powf(now.saturating_sub(self.measured) as f64 / TRUST_MS);
+        let trust = 0.5_f64.powf(now.saturating_sub(self.measured) as f64 / HALF_LIFE_MS);
         (trust * self.ms + (1.0 - trust) * usual as f64) as Millis
     }
 }
 
-/// How often something happens of late; older events count less and less.
+/// Recent rate of an event, with exponentially decaying weights.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecentRate {
     per_ms: f64,
@@ -72,24 +72,24 @@
 }
 
 impl RecentRate {
-    /// Events a millisecond.
+    /// Events per millisecond.
     pub fn at(&self, now: Millis) -> f64 {
-        self.per_ms * (-(now.saturating_sub(self.counted) as f64) / RATE_MS).exp()
+        self.per_ms * (-(now.saturating_sub(self.counted) as f64) / RATE_TIME_MS).exp()
     }
 
     /// Counts an event.
     pub fn count(&mut self, now: Millis) {
-        self.per_ms = self.at(now) + 1.0 / RATE_MS;
+        self.per_ms = self.at(now) + 1.0 / RATE_TIME_MS;
         self.counted = now;
     }
 }
 
-/// Times of the last ten to twenty seconds, in milliseconds.
+/// Distribution of the times of the last 10 to 20 s, in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Times {
-    now: Histogram<u32>,
-    before: Histogram<u32>,
-    turned: Millis,
+    current: Histogram<u32>,
+    previous: Histogram<u32>,
+    rotated: Millis,
 }
 
 impl Default for Times {
@@ -99,87 +99,90 @@
 }
 
 impl Times {
-    /// Makes an empty record of times.
+    /// Creates an empty distribution.
     pub fn new() -> Times {
-        let empty = Histogram::new_with_max(LONGEST_MS, 2).expect("the bounds are constants");
-        Times { now: empty.clone(), before: empty, turned: 0 }
+        let empty = Histogram::new_with_max(MAX_MS, 2).expect("constant bounds are valid");
+        Times { current: empty.clone(), previous: empty, rotated: 0 }
     }
 
     /// Records a time.
     pub fn record(&mut self, now: Millis, ms: Millis) {
-        self.turn(now);
-        self.now.saturating_record(ms.clamp(1, LONGEST_MS));
+        self.rotate(now);
+        self.current.saturating_record(ms.clamp(1, MAX_MS));
     }
 
     /// Number of measurements.
     fn len(&self) -> u64 {
-        self.now.len() + self.before.len()
+        self.current.len() + self.previous.len()
     }
 
-    /// A quantile, from 0 to 1; `None` where too little was measured.
+    /// The quantile `q`, from 0 to 1, in milliseconds; `None` with too few measurements.
     pub fn quantile(&self, q: f64) -> Option<Millis> {
-        let newer = self.now.len();
-        let older = self.before.len();
-        if newer + older < LEAST {
+        let newer = self.current.len();
+        let older = self.previous.len();
+        if newer + older < MIN_SAMPLES {
             return None;
         }
-        let part = |it: &Histogram<u32>| it.value_at_quantile(q) as f64 * it.len() as f64;
-        Some(((part(&self.now) + part(&self.before)) / (newer + older) as f64) as Millis)
+        let weighted = |it: &Histogram<u32>| it.value_at_quantile(q) as f64 * it.len() as f64;
+        Some(
+            ((weighted(&self.current) + weighted(&self.previous)) / (newer + older) as f64)
+                as Millis,
+        )
     }
 
-    fn turn(&mut self, now: Millis) {
-        if now < self.turned + TURN_MS {
+    fn rotate(&mut self, now: Millis) {
+        if now < self.rotated + WINDOW_MS {
             return;
         }
-        std::mem::swap(&mut self.now, &mut self.before);
-        self.now.reset();
-        self.turned = now;
+        std::mem::swap(&mut self.current, &mut self.previous);
+        self.current.reset();
+        self.rotated = now;
     }
 }
 
-/// Patience that callers of a route bring, from which it is told who has likely asked before.
+/// Timeouts that callers of a route state, used to detect likely retries.
 ///
-/// A caller that comes back brings what is left of its patience. Callers differ in that by themselves: the upper
-/// half of what comes is theirs who ask for the first time, and tells how far they spread below the middle.
+/// A caller that retries states the remainder of its timeout. First attempts differ too; the upper half of the
+/// timeouts is assumed to be first attempts, and their spread is assumed symmetric about the median.
 #[derive(Clone, Debug, Default)]
 pub struct Patience {
     times: Times,
 }
 
 impl Patience {
-    /// Records the patience of a caller, in milliseconds.
+    /// Records the timeout that a caller stated, in milliseconds.
     pub fn record(&mut self, now: Millis, ms: Millis) {
         self.times.record(now, ms);
     }
 
-    /// How long ago a caller with so much patience has likely asked first, in milliseconds: none as long as little
-    /// is known, or one that asks for the first time may bring as much.
+    /// Estimated time since the first attempt of a caller that states the timeout `ms`, in milliseconds. It is 0
+    /// with too few samples, or where the timeout is within the range of first attempts.
     pub fn asked_before(&self, ms: Millis) -> Millis {
         let quantile = |it| self.times.quantile(it).map(|it| it as f64);
-        let Some((high, middle)) = quantile(HIGH_PATIENCE).zip(quantile(0.5)) else { return 0 };
-        // Of few callers the middle and the upper end are known by and by only.
-        let below = SPREAD_BELOW * (1.0 + FEW / (self.times.len() as f64).sqrt());
-        let lowest = high - below * (high - middle) - PATIENCE_ERROR * high;
-        if lowest <= ms as f64 { 0 } else { (middle as Millis).saturating_sub(ms) }
+        let Some((high, median)) = quantile(UPPER_QUANTILE).zip(quantile(0.5)) else { return 0 };
+        // With few samples the quantiles are uncertain, so the range of first attempts is wider.
+        let factor = SPREAD_FACTOR * (1.0 + SMALL_SAMPLE_FACTOR / (self.times.len() as f64).sqrt());
+        let lowest = high - factor * (high - median) - TIMEOUT_ERROR * high;
+        if lowest <= ms as f64 { 0 } else { (median as Millis).saturating_sub(ms) }
     }
 }
 
-/// What a stage may use.
+/// Time budget of a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Budget {
     /// The stage may use this much, in milliseconds.
     Use(Millis),
-    /// The request cannot end in time: what remains is below what the stages ahead need.
+    /// The request cannot end in time: less remains than the stages ahead need.
     Hopeless {
-        /// What the stages ahead need at the least, in milliseconds.
+        /// Minimum time of the stages ahead, this one included, in milliseconds.
         need: Millis,
     },
 }
 
-/// Budget of a stage: what remains, less what the stages after it usually take.
+/// Budget of a stage: the remaining time, less the time of the stages after it.
 ///
-/// `own` and `later` are low quantiles (the tenth of a hundred): a request is given up only when
-/// even a good run could not save it. The caller keeps the whole of what remains for a last stage.
+/// `own` and `later` are low quantiles (the 10th percentile) of the stages' times, in milliseconds, so that
+/// a request is cancelled only if even a fast run would be late. `None` stands for an unknown time.
 pub fn budget(remaining: Millis, own: Option<Millis>, later: &[Option<Millis>]) -> Budget {
     let after: Millis = later.iter().flatten().sum();
     let need = own.unwrap_or(0) + after;
--- a/crates/holdpoint-core/src/ledger.rs
+++ b/crates/holdpoint-core/src/ledger.rs
@@ -1,20 +1,21 @@
 //! Proof that a request was not run.
 //!
-//! A [`Ledger`] counts the calls sent for one request. [`NotRun`] has no public constructor: the
-//! only way to one is to close a ledger under which nothing was sent, after which nothing can be.
+//! A [`Ledger`] counts the calls sent for one request. [`NotRun`] has no public constructor. It is returned
+//! only by closing a ledger without sent calls, after which no call can be sent.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-const CLOSED: u64 = 1 << 63;
+/// Top bit of the state, set once the ledger is closed.
+const CLOSED_BIT: u64 = 1 << 63;
 
 /// Counts the calls sent for one request.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Calls begun and not known to be unsent; the top bit is set once closed.
-    word: AtomicU64,
+    /// Number of calls that may have been sent; the top bit is set once closed.
+    state: AtomicU64,
 }
 
-/// A call that may have been sent; dropping it leaves it counted.
+/// A call that may have been sent. It stays counted when dropped.
 #[derive(Debug)]
 #[must_use]
 pub struct Begun<'a> {
@@ -25,38 +26,38 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct NotRun(());
 
-/// At least one call may have been sent.
+/// Error: at least one call may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MayHaveRun;
 
 impl Ledger {
-    /// Makes an open ledger with nothing sent.
+    /// Creates an open ledger without sent calls.
     pub fn new() -> Ledger {
         Ledger::default()
     }
 
-    /// Counts a call as sent; `None` where the ledger is closed and the call must not be made.
+    /// Counts a call as sent. Returns `None` if the ledger is closed; the call must not be sent then.
     pub fn begin(&self) -> Option<Begun<'_>> {
-        let add = |word: u64| (word & CLOSED == 0).then_some(word + 1);
-        self.word.fetch_update(Ordering::AcqRel, Ordering::Acquire, add).ok()?;
+        let add = |state: u64| (state & CLOSED_BIT == 0).then_some(state + 1);
+        self.state.fetch_update(Ordering::AcqRel, Ordering::Acquire, add).ok()?;
         Some(Begun { ledger: self })
     }
 
-    /// Closes the ledger for good and returns the proof where nothing was sent.
+    /// Closes the ledger for good; returns the proof if no call was sent.
     pub fn close(&self) -> Result<NotRun, MayHaveRun> {
-        let before = self.word.fetch_or(CLOSED, Ordering::AcqRel);
-        if before & !CLOSED == 0 { Ok(NotRun(())) } else { Err(MayHaveRun) }
+        let before = self.state.fetch_or(CLOSED_BIT, Ordering::AcqRel);
+        if before & !CLOSED_BIT == 0 { Ok(NotRun(())) } else { Err(MayHaveRun) }
     }
 }
 
 impl Begun<'_> {
-    /// Takes the call back: its connection was never made, so no byte of it left this process.
+    /// Uncounts the call, whose connection was never made, so that no byte of it was sent.
     pub fn never_sent(self) {
-        self.ledger.word.fetch_sub(1, Ordering::AcqRel);
+        self.ledger.state.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Takes the call back on the target's own word that it has not run it and never will.
+    /// Uncounts the call, which the target has reported as not run and never to be run.
     pub fn declined(self) {
-        self.ledger.word.fetch_sub(1, Ordering::AcqRel);
+        self.ledger.state.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/crates/holdpoint-core/src/placement.rs
+++ b/crates/holdpoint-core/src/placement.rs
@@ -1,8 +1,8 @@
-//! Placement: which model, adapter and role each engine of a pool holds.
+//! Placement: which model, adapter and role (a holding) each engine of a pool loads.
 //!
-//! Each holding has a least number of engines; the others follow smoothed demand. An engine gets
-//! at most one order in `hold_ms`, so a pool of `n` engines gets at most `n` orders in any
-//! `hold_ms`, whatever demand does; and never more than the weight store's rate allows.
+//! Each holding has a minimum number of engines; the other engines follow smoothed demand. An engine gets
+//! at most one order per `hold_ms`, which limits churn, and all orders together stay within the rate of the
+//! weight store.
 
 use std::collections::BTreeMap;
 
@@ -13,116 +13,122 @@
 
 use crate::ids::Millis;
 
-/// Weight of the newest demand.
-const NEWEST: f64 = 0.2;
-/// A holding gives up an engine to demand only if it has this many more than its share.
-const DEADBAND: f64 = 0.75;
+/// EWMA weight of the newest demand.
+const DEMAND_WEIGHT: f64 = 0.2;
+/// Hysteresis, in engines: how far a holding must be from its share for an engine to move.
+const DEADBAND_ENGINES: f64 = 0.75;
 
-/// An engine as it reports itself.
+/// State that an engine reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineState {
-    /// Address.
+    /// Address of the engine.
     pub address: String,
-    /// What it holds.
+    /// Its current model, adapter and role.
     pub holds: EngineOrder,
-    /// Calls that it runs and that wait at it.
+    /// Calls running and waiting.
     pub load: u32,
 }
 
-/// An order to one engine.
+/// An order to an engine to change its holding.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     /// Address of the engine.
     pub address: String,
-    /// What it is to hold.
+    /// Its new model, adapter and role.
     pub holds: EngineOrder,
 }
 
-/// Plans the orders of one pool. It is kept by whoever holds the placement lease, and starts
-/// with nothing: a new holder does not know what the last one has drawn from the weight store.
+/// Plans the orders of one pool, on the holder of the placement lease. Its allowance starts empty, since a
+/// new holder does not know how much the last one has spent of the weight store's rate.
 #[derive(Clone, Debug)]
 pub struct Planner {
     demand: BTreeMap<String, f64>,
-    ordered: BTreeMap<String, Millis>,
-    loads: f64,
-    since: Millis,
+    last_orders: BTreeMap<String, Millis>,
+    allowance: f64,
+    updated: Millis,
 }
 
 impl Planner {
-    /// Makes a planner that has drawn all that the weight store allows up to now.
+    /// Creates a planner with an empty allowance.
     pub fn new(now: Millis) -> Planner {
-        Planner { demand: BTreeMap::new(), ordered: BTreeMap::new(), loads: 0.0, since: now }
+        Planner {
+            demand: BTreeMap::new(),
+            last_orders: BTreeMap::new(),
+            allowance: 0.0,
+            updated: now,
+        }
     }
 
-    /// Decides on the orders to give now.
+    /// Returns the orders to send now.
     pub fn plan(
         &mut self,
         now: Millis,
         placement: &Placement,
         engines: &[EngineState],
     ) -> Vec<Order> {
-        self.learn(now, placement, engines);
+        self.update_demand(now, placement, engines);
         let shares = self.shares(placement, engines.len());
         let mut counts: Vec<usize> = placement
             .holdings
             .iter()
             .map(|it| engines.iter().filter(|engine| engine.holds == order_of(it)).count())
             .collect();
-        let mut free: Vec<&EngineState> =
-            engines.iter().filter(|it| self.is_free(now, placement, it)).collect();
-        // Idle engines first: an order interrupts what runs.
-        free.sort_by_key(|it| std::cmp::Reverse(it.load));
+        let mut eligible: Vec<&EngineState> =
+            engines.iter().filter(|it| self.is_eligible(now, placement, it)).collect();
+        // Least loaded engines are taken first, from the end: an order interrupts running calls.
+        eligible.sort_by_key(|it| std::cmp::Reverse(it.load));
         let mut orders = Vec::new();
-        while 1.0 <= self.loads {
-            let Some(wanted) = neediest(placement, &counts, &shares) else { break };
-            let gives = |it: &&EngineState| may_give(placement, &counts, &shares, it);
-            let Some(place) = free.iter().rposition(gives) else { break };
-            let engine = free.remove(place);
+        while 1.0 <= self.allowance {
+            let Some(wanted) = next_holding(placement, &counts, &shares) else { break };
+            let releasable = |it: &&EngineState| is_releasable(placement, &counts, &shares, it);
+            let Some(place) = eligible.iter().rposition(releasable) else { break };
+            let engine = eligible.remove(place);
             if let Some(it) = holding_of(placement, engine) {
                 counts[it] -= 1;
             }
             counts[wanted] += 1;
-            self.loads -= 1.0;
-            self.ordered.insert(engine.address.clone(), now);
+            self.allowance -= 1.0;
+            self.last_orders.insert(engine.address.clone(), now);
             let holds = order_of(&placement.holdings[wanted]);
             orders.push(Order { address: engine.address.clone(), holds });
         }
         orders
     }
 
-    fn learn(&mut self, now: Millis, placement: &Placement, engines: &[EngineState]) {
+    fn update_demand(&mut self, now: Millis, placement: &Placement, engines: &[EngineState]) {
         for holding in &placement.holdings {
             let order = order_of(holding);
             let same = engines.iter().filter(|it| it.holds == order);
             let load: u32 = same.map(|it| it.load).sum();
-            let smoothed = self.demand.entry(name_of(&order)).or_default();
-            *smoothed += NEWEST * (f64::from(load) - *smoothed);
+            let smoothed = self.demand.entry(key_of(&order)).or_default();
+            *smoothed += DEMAND_WEIGHT * (f64::from(load) - *smoothed);
         }
         let rate = f64::from(placement.loads_per_minute);
-        let earned = now.saturating_sub(self.since) as f64 * rate / 60_000.0;
-        self.loads = (self.loads + earned).min(rate);
-        self.since = now;
+        let refill = now.saturating_sub(self.updated) as f64 * rate / 60_000.0;
+        self.allowance = (self.allowance + refill).min(rate);
+        self.updated = now;
     }
 
-    /// Engines that each holding should have: its least number, and a part of the rest by demand.
+    /// Number of engines that each holding should have: its minimum, and a share of the rest by demand.
     fn shares(&self, placement: &Placement, engines: usize) -> Vec<f64> {
-        let least: Vec<f64> = placement.holdings.iter().map(|it| f64::from(it.engines)).collect();
-        let rest = (engines as f64 - least.iter().sum::<f64>()).max(0.0);
-        let of = |it: &Holding| self.demand.get(&name_of(&order_of(it))).copied().unwrap_or(0.0);
-        let demand: Vec<f64> = placement.holdings.iter().map(of).collect();
+        let minimum: Vec<f64> = placement.holdings.iter().map(|it| f64::from(it.engines)).collect();
+        let rest = (engines as f64 - minimum.iter().sum::<f64>()).max(0.0);
+        let demand_of =
+            |it: &Holding| self.demand.get(&key_of(&order_of(it))).copied().unwrap_or(0.0);
+        let demand: Vec<f64> = placement.holdings.iter().map(demand_of).collect();
         let total: f64 = demand.iter().sum();
         if total == 0.0 {
-            return least;
+            return minimum;
         }
-        least.iter().zip(demand).map(|(least, it)| least + rest * it / total).collect()
+        minimum.iter().zip(demand).map(|(minimum, it)| minimum + rest * it / total).collect()
     }
 
-    fn is_free(&self, now: Millis, placement: &Placement, engine: &EngineState) -> bool {
-        self.ordered.get(&engine.address).is_none_or(|it| it + placement.hold_ms <= now)
+    fn is_eligible(&self, now: Millis, placement: &Placement, engine: &EngineState) -> bool {
+        self.last_orders.get(&engine.address).is_none_or(|it| it + placement.hold_ms <= now)
     }
 }
 
-/// The order that makes an engine hold this.
+/// The order that assigns a holding to an engine.
 pub fn order_of(holding: &Holding) -> EngineOrder {
     EngineOrder {
         model: holding.model.clone(),
@@ -131,13 +137,13 @@
     }
 }
 
-/// Whether something is running under a lease may be done now, by the holder's own clock: from
-/// when the bid was made, for the lease's length, less a part for clocks that run unevenly.
+/// Whether a lease is still held, by the holder's own clock. It counts from the time of the bid, and ends
+/// early by a margin for clock drift.
 pub fn is_held(bid_at: Millis, length_ms: Millis, now: Millis) -> bool {
     now < bid_at + length_ms - length_ms / 8
 }
 
-fn name_of(order: &EngineOrder) -> String {
+fn key_of(order: &EngineOrder) -> String {
     format!("{}\n{}\n{}", order.model, order.adapter, order.role)
 }
 
@@ -145,24 +151,28 @@
     placement.holdings.iter().position(|it| order_of(it) == engine.holds)
 }
 
-/// The holding that lacks most: first those below their least number, in the order given, then
-/// those below their share by a whole engine and the deadband.
-fn neediest(placement: &Placement, counts: &[usize], shares: &[f64]) -> Option<usize> {
-    let below_least = |it: &usize| counts[*it] < placement.holdings[*it].engines as usize;
+/// The holding to assign next: the first below its minimum, otherwise the one furthest below its share by
+/// more than the deadband.
+fn next_holding(placement: &Placement, counts: &[usize], shares: &[f64]) -> Option<usize> {
+    let below_minimum = |it: &usize| counts[*it] < placement.holdings[*it].engines as usize;
     let all = || 0..placement.holdings.len();
-    all().find(below_least).or_else(|| {
+    all().find(below_minimum).or_else(|| {
         let lack = |it: usize| shares[it] - counts[it] as f64;
-        all().filter(|it| DEADBAND < lack(*it)).max_by(|a, b| lack(*a).total_cmp(&lack(*b)))
+        all().filter(|it| DEADBAND_ENGINES < lack(*it)).max_by(|a, b| lack(*a).total_cmp(&lack(*b)))
     })
 }
 
-/// Whether an engine can be spared: it holds nothing that is asked for, or its holding has more
-/// than its least number and clearly more than its share.
-fn may_give(placement: &Placement, counts: &[usize], shares: &[f64], engine: &EngineState) -> bool {
-    let Some(held) = holding_of(placement, engine) else { return true };
-    let least = placement.holdings[held].engines as usize;
-    let least_is_met =
-        placement.holdings.iter().zip(counts).all(|(it, n)| it.engines as usize <= *n);
-    let has_spare = least < counts[held];
-    has_spare && (!least_is_met || shares[held] + DEADBAND < counts[held] as f64)
+/// Whether an engine can change its holding: none is configured for it, or its holding is above its minimum and
+/// either another is below its own or this one exceeds its share by more than the deadband.
+fn is_releasable(
+    placement: &Placement,
+    counts: &[usize],
+    shares: &[f64],
+    engine: &EngineState,
+) -> bool {
+    let Some(holding) = holding_of(placement, engine) else { return true };
+    let minimum = placement.holdings[holding].engines as usize;
+    let all_met = placement.holdings.iter().zip(counts).all(|(it, n)| it.engines as usize <= *n);
+    let has_surplus = minimum < counts[holding];
+    has_surplus && (!all_met || shares[holding] + DEADBAND_ENGINES < counts[holding] as f64)
 }
