--- a/crates/holdpoint-core/src/admit.rs
+++ b/crates/holdpoint-core/src/admit.rs
@@ -18,12 +18,13 @@
 const MIN_DECREASE_GAP_MS: Millis = 100;
 /// Factor of one decrease, applied when a target is full.
 const DECREASE_FACTOR: f64 = 0.9;
-/// Decrease of the limit for a completion that saw a queue, divided by the limit. It is larger than
-/// `INCREASE`, so that the limit settles where a minority of completions see a queue and batches stay full.
+/// A completion that saw a queue decreases the limit by this value divided by the limit. It exceeds
+/// `INCREASE`, so that the limit settles where a minority of completions see a queue, which keeps the
+/// targets' batches full.
 const QUEUED_DECREASE: f64 = 8.0;
 /// Ratio of running to waiting calls from which on a target counts as having no queue.
 const NO_QUEUE_RATIO: u32 = 4;
-/// Increase of the limit for a completion without a queue, divided by the limit.
+/// A completion that saw no queue increases the limit by this value divided by the limit.
 const INCREASE: f64 = 4.0;
 /// Initial limit, in requests.
 const INITIAL_LIMIT: f64 = 32.0;
--- a/crates/holdpoint-core/src/placement.rs
+++ b/crates/holdpoint-core/src/placement.rs
@@ -66,7 +66,7 @@
         placement: &Placement,
         engines: &[EngineState],
     ) -> Vec<Order> {
-        self.update_demand(now, placement, engines);
+        self.update(now, placement, engines);
         let shares = self.shares(placement, engines.len());
         let mut counts: Vec<usize> = placement
             .holdings
@@ -95,7 +95,7 @@
         orders
     }
 
-    fn update_demand(&mut self, now: Millis, placement: &Placement, engines: &[EngineState]) {
+    fn update(&mut self, now: Millis, placement: &Placement, engines: &[EngineState]) {
         for holding in &placement.holdings {
             let order = order_of(holding);
             let same = engines.iter().filter(|it| it.holds == order);
--- a/crates/holdpoint-core/src/promises.rs
+++ b/crates/holdpoint-core/src/promises.rs
@@ -225,7 +225,7 @@
         queue.returns.take(now, excess, f64::from(items) / queue.load.per_ms)
     }
 
-    /// Items admitted for a service since its last report, in time and late ones together.
+    /// Items admitted for a service that no load report covers yet, in time and late ones together.
     pub fn outstanding(&self, service: &str) -> f64 {
         self.queues.get(service).map_or(0.0, |it| it.arrivals.values().sum::<f64>() + it.late)
     }
--- a/crates/holdpoint-core/src/route.rs
+++ b/crates/holdpoint-core/src/route.rs
@@ -53,7 +53,7 @@
     /// Hash of the address, for its rendezvous weight.
     hash: u64,
     domain: String,
-    /// Empty where there is only one region.
+    /// Region of the failure domain; empty if there is only one region.
     region: String,
     in_flight: u32,
     work: f64,
@@ -72,9 +72,9 @@
     prefill_until: f64,
     /// Limits its calls while it is cold.
     credits: Credits,
-    /// Until when it gets no calls because its rate limit over all instances is used up.
+    /// Gets no calls before this time, since its rate limit over all instances is reached.
     limited_until: Millis,
-    /// Until when it gets no calls of this instance, which it has asked to back off.
+    /// Gets no calls of this instance before this time, since it has asked this instance to back off.
     backoff_until: Millis,
 }
 
--- a/crates/holdpoint-core/src/route/affinity.rs
+++ b/crates/holdpoint-core/src/route/affinity.rs
@@ -15,9 +15,9 @@
 use super::{Call, Router, lowest_score, predict::prefix_trust};
 use crate::{ids::Millis, subset::hashed_weight};
 
-/// Probability at which the first home of a prefix is taken to cache it.
+/// Trust that the first home of a prefix caches it, from 0 to 1.
 const FIRST_HOME_TRUST: f64 = 0.9;
-/// The same of the second home.
+/// Trust that the second home of a prefix caches it, from 0 to 1.
 const SECOND_HOME_TRUST: f64 = 0.2;
 /// Weight of the time spent recomputing a prefix, in addition to that time itself, since it also delays the
 /// other calls at the target. Large enough against `PREFILL_WEIGHT` that a prefix stays at a target that is
@@ -64,7 +64,7 @@
 }
 
 impl Router {
-    /// The target of lowest_score cost among those that the call is compared at, and the number of these.
+    /// The target of lowest cost among those that the call is compared at, and the number of these.
     pub(super) fn least_by_affinity(
         &self,
         now: Millis,
--- a/crates/holdpoint-core/src/route/members.rs
+++ b/crates/holdpoint-core/src/route/members.rs
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Stops routing to a target at once, as draining. The next membership update confirms or corrects this.
+    /// Marks a target as draining and stops routing to it at once. The next membership update confirms or
+    /// corrects this.
     pub fn leave(&mut self, address: &str) {
         self.remove_target(address);
         if let Some(it) = self.members.get_mut(address) {
--- a/crates/holdpoint-core/src/route/predict.rs
+++ b/crates/holdpoint-core/src/route/predict.rs
@@ -17,15 +17,15 @@
 const PREFIX_HALF_LIFE_MS: f64 = 30_000.0;
 /// Weight of a target's outstanding prefill time, which delays all calls that run there.
 const PREFILL_WEIGHT: f64 = 3.5;
-/// Cost of a megabyte of inputs fetched from another failure domain, in milliseconds. Transfer is charged,
-/// so this is more than the time it takes.
+/// Cost of a megabyte of inputs fetched from another failure domain, in milliseconds. More than the time it
+/// takes, since such traffic is also billed.
 const TRANSFER_MS_PER_MB: f64 = 33.0;
 const BYTES_PER_MB: f64 = 1e6;
 
 impl Router {
     /// Predicted cost of a call at a target, in milliseconds: queueing, its work at the target's pace
-    /// slowed by the batch, outstanding prefill, distance and transfer of inputs. `trust` is the
-    /// probability that the target caches the prefix.
+    /// slowed by the batch, outstanding prefill, distance and transfer of inputs. `trust` is
+    /// that of `prefix_trust`.
     pub(super) fn predict(
         &self,
         now: Millis,
--- a/crates/holdpoint-core/src/spill.rs
+++ b/crates/holdpoint-core/src/spill.rs
@@ -1,7 +1,7 @@
 //! Spill: sends requests that one region cannot serve in time to another one that can, before any work was
 //! done for them.
 //!
-//! The owners of a service in the two regions agree by leases of capacity, updated in places (work items). The
+//! The owners of a service in the two regions agree by leases of capacity, counted in places (work items). The
 //! lender grants spare places for a short time, and the borrower assigns them to requests of its region. A
 //! lease expires at the borrower before it does at the lender, so that no place is granted twice even where an
 //! owner fails or the link is cut.
@@ -129,7 +129,7 @@
 }
 
 /// Length of the critical path of a request's stages, in milliseconds; `ms` gives the time of each stage.
-/// Stages without work items start no path.
+/// Stages without work items are left out.
 pub fn chain_ms(graph: &StageGraph, ms: &impl Fn(usize) -> Millis) -> Millis {
     let stages = (0..graph.len()).filter(|it| graph.pieces(*it) != 0);
     stages.map(|it| path_ms(graph, it, ms)).max().unwrap_or(0)
