--- a/crates/holdpoint-core/src/route/predict.rs
+++ b/crates/holdpoint-core/src/route/predict.rs
@@ -24,8 +24,8 @@
 
 impl Router {
     /// Predicted cost of a call at a target, in milliseconds: queueing, its work at the target's pace
-    /// slowed by the batch, outstanding prefill, distance and transfer of inputs. `trust` is
-    /// that of `prefix_trust`.
+    /// slowed by the batch, outstanding prefill, distance and transfer of inputs. `trust`,
+    /// from 0 to 1, is how far the target is trusted to cache the prefix.
     pub(super) fn predict(
         &self,
         now: Millis,
