--- a/crates/holdpoint-core/src/rollout/exposure.rs
+++ b/crates/holdpoint-core/src/rollout/exposure.rs
@@ -1,42 +1,41 @@
-//! How many requests a version may get that is not known to be good.
+//! Bounds the number of requests that an unproven version receives.
 //!
-//! The driver hands out permits, as a number of requests in all that a life of an instance may send,
-//! against the requests that have truly reached the service by what all instances have told. A permit
-//! counts as spent from when it is given, so that lost messages, killed or cut-off instances leave
-//! permits unused and never spend one twice.
+//! The driver of a roll-out grants each incarnation of an instance a quota: the total number of requests
+//! that it may send to the version. The sum of quotas is bounded by the requests that instances report
+//! as having reached the service. A permit counts as spent once granted, so lost messages and crashed or
+//! partitioned instances leave permits unused and never spend one twice.
 
-/// Part of the bound's share that is given out while the version is judged; the rest is for full load,
-/// and for permits of a driver that is gone.
-const AIM: f64 = 0.5;
-/// Part of the slack that is given out at once, so that judging begins with the first requests.
-const START_PART: f64 = 0.05;
-/// Part of the requests of other routes that may spend a permit while answers from some routes are
-/// wanted: with it, none of 100 good versions was left unjudged in 12 s for want of answers from a route
-/// that has a fifth of the requests, without it 8 were.
-const OTHERS_PART: f64 = 0.25;
+/// Fraction of the bound's share that is granted while the version is judged. The rest is reserved for
+/// full load and for permits granted by an earlier driver.
+const JUDGED_SHARE: f64 = 0.5;
+/// Fraction of the slack that is granted at once, so that judging starts with the first requests.
+const INITIAL_SLACK_SHARE: f64 = 0.05;
+/// Fraction of requests on other routes that may spend a permit while some routes need more answers.
+/// Without it, busy routes use up the permits that a rarely used route needs to be judged in time.
+const OTHER_ROUTES_RATE: f64 = 0.25;
 
-/// The bound on the requests that a version may get which is not known to be good.
+/// The bound on the requests that an unproven version may receive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Part of all requests that reach the service, from 0 to 1.
+    /// Fraction of all requests that reach the service, from 0 to 1.
     pub share: f64,
-    /// Requests beside that part.
+    /// Requests allowed in addition to that fraction.
     pub slack: f64,
 }
 
 impl Bound {
-    /// Requests that a version may get of so many that reach the service.
+    /// The number of requests that a version may receive when `reached` have reached the service.
     pub fn limit(&self, reached: u64) -> f64 {
         self.share * reached as f64 + self.slack
     }
 
-    /// Requests for which permits are given out while the version is judged.
+    /// The number of permits granted while the version is judged.
     pub fn judged(&self, reached: u64) -> f64 {
-        AIM * self.share * reached as f64 + START_PART * self.slack
+        JUDGED_SHARE * self.share * reached as f64 + INITIAL_SLACK_SHARE * self.slack
     }
 }
 
-/// What one instance has sent to a service since it saw an order.
+/// Requests that one instance has sent to a service since it saw an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Exposure {
     /// Requests sent to the service, whichever the version.
@@ -45,15 +44,15 @@
     pub exposed: u64,
 }
 
-/// How many targets of a version get its part of the requests while it is not known to be good: so few
-/// that each has the load of an old one, since a version may be bad under load only.
+/// The number of targets that receive an unproven version's requests. It is kept small enough for each
+/// to have the load of an old target, since a version may fail under load only.
 pub fn canary_targets(bound: &Bound, old: usize, new: usize) -> usize {
-    let like_old = (AIM * bound.share * old as f64) as usize;
-    like_old.clamp(1, new.max(1))
+    let count = (JUDGED_SHARE * bound.share * old as f64) as usize;
+    count.clamp(1, new.max(1))
 }
 
-/// Whether a request of a route may spend a permit, where answers from some routes are wanted most;
-/// `draw` is from 0 to 1 and even.
+/// Whether a request on `route` may spend a permit while more answers are needed from the `wanted`
+/// routes; `draw` is uniform in 0 to 1.
 pub fn is_wanted(wanted: &[String], route: &str, draw: f64) -> bool {
-    wanted.is_empty() || wanted.iter().any(|it| it == route) || draw < OTHERS_PART
+    wanted.is_empty() || wanted.iter().any(|it| it == route) || draw < OTHER_ROUTES_RATE
 }
--- a/crates/holdpoint-core/src/rollout/gate.rs
+++ b/crates/holdpoint-core/src/rollout/gate.rs
@@ -1,7 +1,7 @@
-//! What one instance lets through to a version that is rolled out, by what the driver last told it.
+//! Decides at one instance which requests go to a version that is being rolled out.
 //!
-//! What the driver tells holds for a short time only, but for the end of a roll-out, which is final. An
-//! instance that has heard nothing of late sends nothing to the version.
+//! The driver's updates are leases: each is valid for a short time, except that the end of a roll-out is
+//! final. An instance without a valid update sends nothing to the new version.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,59 +16,60 @@
     },
 };
 
-/// How long after an order's deadline its version is held back where it is not known to be completed and
-/// no other version is left, and how long other versions are held back where it is, in milliseconds.
-const FORGOTTEN_MS: Millis = 30_000;
+/// How long after its deadline an order still restricts targets, in milliseconds. After that, a version
+/// not known to be completed may be used if no other is left, and a completed one no longer excludes others.
+const ORDER_GRACE_MS: Millis = 30_000;
 
-/// What the driver of a roll-out tells an instance.
+/// An update from the driver of a roll-out to an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
     /// Offset of the order.
     pub offset: Horizon,
-    /// Where the roll-out stands.
+    /// Current phase of the roll-out.
     pub phase: Phase,
-    /// Requests to the version in all that this life of the instance may send before the roll-out ends.
+    /// Total number of requests that this incarnation of the instance may send to the version before the
+    /// roll-out ends.
     pub quota: u64,
-    /// Routes from which answers are wanted most.
+    /// Routes whose requests spend permits first, since the version is not yet proven good there.
     pub wanted: Vec<Name>,
 }
 
 /// Which targets a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
-    /// All.
+    /// Targets of any version.
     Any,
-    /// Those of other versions.
+    /// Targets of other versions only.
     Old,
-    /// Those of the version that is rolled out.
+    /// Targets of the version that is being rolled out only.
     New,
 }
 
-/// One service's roll-out as an instance sees it.
+/// The state of one service's roll-out at an instance.
 #[derive(Clone, Debug)]
 pub struct Gate {
     order: Order,
     exposure: Exposure,
     answers: Observations,
     old_running: u64,
-    wants: u64,
-    word: Word,
-    /// Until when what the driver told holds.
-    until: Millis,
+    needed_permits: u64,
+    update: Word,
+    /// When the driver's update expires.
+    valid_until: Millis,
     is_withdrawn: bool,
 }
 
 impl Gate {
-    /// Begins with an order.
+    /// Creates a gate that is closed until the driver's first update.
     pub fn new(order: Order) -> Gate {
         Gate {
             order,
             exposure: Exposure::default(),
             answers: Observations::default(),
             old_running: 0,
-            wants: 1,
-            word: Word::default(),
-            until: 0,
+            needed_permits: 1,
+            update: Word::default(),
+            valid_until: 0,
             is_withdrawn: false,
         }
     }
@@ -78,74 +79,75 @@
         &self.order
     }
 
-    /// Takes in that its order is withdrawn: the version gets nothing more.
+    /// Marks the order as withdrawn: unless completed, the version receives no more requests.
     pub fn withdraw(&mut self) {
         self.is_withdrawn = true;
     }
 
-    /// Takes in what the driver tells, which holds until a time.
+    /// Applies an update from the driver that is valid until a time. Updates for other orders, and those
+    /// that follow a final one, are ignored.
     pub fn hear(&mut self, word: Word, until: Millis) {
-        if word.offset == self.order.offset && !self.word.phase.is_final() {
-            (self.word, self.until) = (word, until);
+        if word.offset == self.order.offset && !self.update.phase.is_final() {
+            (self.update, self.valid_until) = (word, until);
         }
     }
 
-    /// Where the roll-out stands, as far as that still holds.
+    /// The current phase; `None` if the driver's last update has expired.
     pub fn phase(&self, now: Millis) -> Option<Phase> {
-        let phase = self.word.phase;
+        let phase = self.update.phase;
         if self.is_withdrawn && phase != Phase::Completed {
             return Some(Phase::RolledBack);
         }
-        (phase.is_final() || now < self.until).then_some(phase)
+        (phase.is_final() || now < self.valid_until).then_some(phase)
     }
 
-    /// Whether requests may be under way to the version now.
+    /// Whether requests may be in flight to the version now.
     pub fn is_open(&self, now: Millis) -> bool {
         let phase = self.phase(now);
         matches!(phase, Some(Phase::Canary | Phase::Loaded | Phase::Full | Phase::Completed))
     }
 
-    /// Chooses for a request, and spends what it needs; `draw` is from 0 to 1 and even.
+    /// Chooses a lane for a request and spends its permit if it needs one; `draw` is uniform in 0 to 1.
     pub fn lane(&mut self, now: Millis, route: &str, draw: f64, has_old: bool) -> Lane {
         let lane = self.lane_for(now, 1, has_old);
-        let is_drawn = match self.phase(now) {
-            Some(Phase::Canary) => is_wanted(&self.word.wanted, route, draw),
+        let is_selected = match self.phase(now) {
+            Some(Phase::Canary) => is_wanted(&self.update.wanted, route, draw),
             _ => true,
         };
-        if lane == Lane::New && !is_drawn {
+        if lane == Lane::New && !is_selected {
             return Lane::Old;
         }
-        // Spent before a target is chosen, which may take a while: others are not to see it as free.
+        // The permit is spent before a target is chosen, so that no concurrent request takes it meanwhile.
         if lane == Lane::New {
             self.exposed(1);
         }
         lane
     }
 
-    /// Where so many requests may go together. [`Gate::exposed`] must follow where they go to
-    /// the version.
+    /// Returns the lane for `count` requests that are sent together. If they go to the new version, the
+    /// caller must count them by [`Gate::exposed`].
     pub fn lane_for(&self, now: Millis, count: u64, has_old: bool) -> Lane {
-        let or_old = |is_new| if is_new { Lane::New } else { Lane::Old };
+        let new_or_old = |is_new| if is_new { Lane::New } else { Lane::Old };
         match self.phase(now) {
             Some(Phase::Canary | Phase::Loaded | Phase::Full) => {
-                or_old(self.exposure.exposed + count <= self.word.quota)
+                new_or_old(self.exposure.exposed + count <= self.update.quota)
             }
-            // By then the old targets are gone, and others may come that have a later version.
-            Some(Phase::Completed) if self.is_forgotten(now) => Lane::Any,
+            // The old targets have stopped by then, and targets of a later version may have joined.
+            Some(Phase::Completed) if self.is_expired(now) => Lane::Any,
             Some(Phase::Completed) => Lane::New,
-            // Nobody knows how it ended, and no other version is there to fall back on.
-            _ if !has_old && self.is_forgotten(now) => Lane::Any,
+            // The outcome is unknown, and there is no other version to fall back on.
+            _ if !has_old && self.is_expired(now) => Lane::Any,
             _ => Lane::Old,
         }
     }
 
-    fn is_forgotten(&self, now: Millis) -> bool {
-        self.order.until + FORGOTTEN_MS < now
+    fn is_expired(&self, now: Millis) -> bool {
+        self.order.until + ORDER_GRACE_MS < now
     }
 
-    /// Takes in how many requests go together, for which permits are needed.
+    /// Sets how many permits the next group of requests needs.
     pub fn wants(&mut self, count: u64) {
-        self.wants = count.max(1);
+        self.needed_permits = count.max(1);
     }
 
     /// Counts requests as sent to the service, whichever the version.
@@ -158,7 +160,7 @@
         self.exposure.exposed += count;
     }
 
-    /// Counts a request that runs at an old target, until [`Gate::old_ended`].
+    /// Counts a request that starts at an old target, until [`Gate::old_ended`].
     pub fn old_begun(&mut self) {
         self.old_running += 1;
     }
@@ -168,18 +170,18 @@
         self.old_running = self.old_running.saturating_sub(1);
     }
 
-    /// Takes in an answer of the version, or of another.
+    /// Records an answer of the new version or of an old one.
     pub fn answered(&mut self, route: &str, is_new: bool, answer: Answer) {
         self.answers.add(route, is_new, answer);
     }
 
-    /// What the driver is told.
+    /// The report for the driver.
     pub fn input(&self) -> Input {
         Input {
             reached: self.exposure.reached,
             exposed: self.exposure.exposed,
             old_running: self.old_running,
-            wants: self.wants,
+            wants: self.needed_permits,
             answers: self.answers.clone(),
         }
     }
--- a/crates/holdpoint-core/src/rollout/mod.rs
+++ b/crates/holdpoint-core/src/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Roll-outs: a service's traffic moves to targets of another version, started beside the old ones,
-//! under a bounded exposure; a bad version is taken back.
+//! Roll-outs: move a service's traffic to targets of a new version that run beside the old ones, with
+//! a bound on the requests that an unproven version receives. A bad version is rolled back.
 //!
-//! [`order`] knows what operators have ordered, [`exposure`] how many requests an instance may send to
-//! the new version, [`judge`] whether its answers are as good as those of the old one, and [`phase`]
-//! what follows from all that. docs/design/rollouts.md has the reasons.
+//! [`order`] holds the operators' orders, [`exposure`] bounds the requests sent to the new version,
+//! [`judge`] compares its answers with those of the old version, [`phase`] decides the course of a
+//! roll-out, and [`gate`] applies it at each instance. See docs/design/rollouts.md.
 
 pub mod exposure;
 pub mod gate;
--- a/crates/holdpoint-core/src/rollout/order.rs
+++ b/crates/holdpoint-core/src/rollout/order.rs
@@ -1,8 +1,8 @@
-//! Orders to roll out a version, as the state of a prefix of the log of orders.
+//! Roll-out orders, as the state after a prefix of the log of orders.
 //!
-//! Of two states the one of the longer prefix is the newer one, as with evacuations. A record does not
-//! say when it was written, so an order's deadline counts from when it was first seen, and whoever
-//! learns an order from another instance learns how much of its time is left.
+//! The state of the longer prefix is the newer one, as for evacuations. Records carry no time, so an
+//! order's deadline counts from when it was first seen. Instances that exchange orders also exchange the
+//! time remaining.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     ids::{Millis, Name},
 };
 
-/// What a record of the log of orders says of a roll-out.
+/// A roll-out record in the log of orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderRecord {
     /// A version is to be rolled out.
@@ -23,9 +23,9 @@
         offset: Horizon,
         /// Service.
         service: Name,
-        /// Version that its traffic is to move to.
+        /// Version that receives the service's traffic.
         version: String,
-        /// Time for it, in milliseconds.
+        /// Time allowed for the roll-out, in milliseconds.
         duration_ms: Millis,
     },
     /// The order for a service is withdrawn.
@@ -37,41 +37,42 @@
     },
 }
 
-/// An order in force.
+/// An active order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Position of its record, which identifies it.
+    /// Position of its record, which identifies the order.
     pub offset: Horizon,
-    /// Version that the service's traffic is to move to.
+    /// Version that receives the service's traffic.
     pub version: String,
-    /// Time for it, in milliseconds.
+    /// Time allowed for the roll-out, in milliseconds.
     pub duration_ms: Millis,
-    /// When that time is over, by the clock of this instance.
+    /// Deadline of the roll-out, by the clock of this instance.
     pub until: Millis,
 }
 
-/// The orders in force, by service.
+/// The active orders, by service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Orders {
     horizon: Horizon,
-    era: Option<Era>,
+    epoch: Option<Era>,
     orders: BTreeMap<Name, Order>,
-    /// Until when orders of an era before are kept that the store lacks; they may be written again.
-    kept_until: Millis,
+    /// Until when orders of the previous epoch are retained that the restored store lacks. Their operators
+    /// may write them again.
+    retained_until: Millis,
 }
 
-/// Orders as one instance tells them to another.
+/// The active orders as sent from one instance to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldOrders {
     horizon: Horizon,
-    /// Era of the log; instances of earlier versions tell none.
-    #[serde(default)]
-    era: Option<Era>,
-    orders: Vec<ToldOrder>,
+    /// Epoch of the log; instances of earlier versions send none.
+    #[serde(default, rename = "era")]
+    epoch: Option<Era>,
+    orders: Vec<OrderSnapshot>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct ToldOrder {
+struct OrderSnapshot {
     service: Name,
     offset: Horizon,
     version: String,
@@ -80,13 +81,14 @@
 }
 
 impl Orders {
-    /// Makes the state of a whole read up to `horizon`: services that it does not name have no order.
+    /// Creates the state from a full read of the log up to a position. Services without a record have no
+    /// order.
     pub fn new(now: Millis, at: Position, records: &[OrderRecord]) -> Orders {
-        let empty = Orders { era: at.era, ..Orders::default() };
+        let empty = Orders { epoch: at.era, ..Orders::default() };
         Orders { horizon: at.offset, ..empty.followed_by(now, at.offset, records) }
     }
 
-    /// The state after the records up to `horizon`, of which `records` are those for roll-outs.
+    /// Returns the state after all records before `horizon`, given the roll-out `records` among them.
     pub fn followed_by(&self, now: Millis, horizon: Horizon, records: &[OrderRecord]) -> Orders {
         let mut next = self.clone();
         for record in records {
@@ -112,20 +114,20 @@
         next
     }
 
-    /// Takes over a state; the services whose orders have changed. Of the same order, the earlier end
-    /// counts: whoever knows it has seen the order earlier.
+    /// Adopts a state unless it is older, and returns the services whose orders have changed. If both states
+    /// have the same order, the earlier deadline applies, since it comes from an earlier sighting.
     ///
-    /// Where the store has come back from an older copy, an order that is known stays the same one although
-    /// its record lies elsewhere now, and one that is missing is kept until its operator may have written it
-    /// again: else a version would begin anew with all that it had been given before.
+    /// After the store was restored from an older copy, a known order keeps its identity although its record
+    /// has another offset now. An order that the copy lacks is retained until its operator has had time to
+    /// write it again. Otherwise the roll-out would start anew, with permits as if none had been spent.
     pub fn advance(&mut self, now: Millis, newer: Orders) -> Vec<Name> {
         if self.position().is_after(newer.position()) {
             return Vec::new();
         }
-        let is_back = newer.position().is_of_later_era(self.position());
+        let is_later_epoch = newer.position().is_of_later_era(self.position());
         let before = std::mem::replace(self, newer);
-        self.kept_until = if is_back { now + SETTLE_MS } else { before.kept_until };
-        if now < self.kept_until {
+        self.retained_until = if is_later_epoch { now + SETTLE_MS } else { before.retained_until };
+        if now < self.retained_until {
             for (service, known) in &before.orders {
                 let order = self.orders.entry(service.clone()).or_insert_with(|| known.clone());
                 if order.version == known.version && order.duration_ms == known.duration_ms {
@@ -145,17 +147,17 @@
         changed
     }
 
-    /// How far the log is known.
+    /// Offset up to which the log is known.
     pub fn horizon(&self) -> Horizon {
         self.horizon
     }
 
-    /// How far the log is known, with its era.
+    /// Position up to which the log is known, with its epoch.
     pub fn position(&self) -> Position {
-        Position { era: self.era, offset: self.horizon }
+        Position { era: self.epoch, offset: self.horizon }
     }
 
-    /// Order of a service.
+    /// The order for a service.
     pub fn get(&self, service: &str) -> Option<&Order> {
         self.orders.get(service)
     }
@@ -170,24 +172,24 @@
         self.orders.is_empty()
     }
 
-    /// The state for another instance.
+    /// Returns the state to send to another instance.
     pub fn told(&self, now: Millis) -> ToldOrders {
-        let told = |(service, it): (&Name, &Order)| ToldOrder {
+        let snapshot = |(service, it): (&Name, &Order)| OrderSnapshot {
             service: service.clone(),
             offset: it.offset,
             version: it.version.clone(),
             duration_ms: it.duration_ms,
             left_ms: it.until.saturating_sub(now),
         };
-        let orders = self.orders.iter().map(told).collect();
-        ToldOrders { horizon: self.horizon, era: self.era, orders }
+        let orders = self.orders.iter().map(snapshot).collect();
+        ToldOrders { horizon: self.horizon, epoch: self.epoch, orders }
     }
 }
 
 impl ToldOrders {
-    /// The state that another instance told.
+    /// Converts the state received from another instance; `now` starts the remaining time of its orders.
     pub fn taken(self, now: Millis) -> Orders {
-        let taken = |it: ToldOrder| {
+        let with_deadline = |it: OrderSnapshot| {
             let order = Order {
                 offset: it.offset,
                 version: it.version,
@@ -196,7 +198,7 @@
             };
             (it.service, order)
         };
-        let orders = self.orders.into_iter().map(taken).collect();
-        Orders { horizon: self.horizon, era: self.era, orders, kept_until: 0 }
+        let orders = self.orders.into_iter().map(with_deadline).collect();
+        Orders { horizon: self.horizon, epoch: self.epoch, orders, retained_until: 0 }
     }
 }
--- a/crates/holdpoint-core/src/rollout/phase.rs
+++ b/crates/holdpoint-core/src/rollout/phase.rs
@@ -1,9 +1,9 @@
-//! The course of one roll-out, as the instance that drives it decides it.
+//! The phases of one roll-out, decided by the instance that drives it.
 //!
-//! Until the version is found to be good it gets no more than each instance's own share. Shortly
-//! before the deadline a good one gets all traffic, as far as a quota goes that keeps the sum over all
-//! instances under the bound even then; if it stays good there, the roll-out is completed. A version
-//! that cannot be judged is rolled back before the deadline.
+//! A version starts as a canary with a small quota until it is judged good. Shortly before the deadline
+//! a good version gets a few targets' full load, then all traffic, within quotas that keep the total over
+//! all instances below the bound. If it stays good, the roll-out is completed. A version that cannot be
+//! judged is rolled back before the deadline.
 
 use std::collections::BTreeMap;
 
@@ -19,72 +19,75 @@
     },
 };
 
-/// Part of an order's time that is kept for moving all traffic.
-const FULL_PART: f64 = 0.2;
-/// Longest time that is kept for that, in milliseconds: what runs at the old targets ends in it.
-const LONGEST_FULL_MS: Millis = 3000;
-/// Shortest time for which all traffic has to go well, in milliseconds: answers take part of it, and
-/// come with reports of instances every 200 ms.
-const LEAST_FULL_MS: Millis = 700;
-/// Time before the deadline at which the status has to be decided, in milliseconds: instances hear of it
-/// within 200 ms, what runs at old targets ends, and a conditional write takes some 10 ms, a second one
-/// 200 ms later.
-const MARGIN_MS: Millis = 1000;
-/// Time before the deadline at which operators are told at the latest, in milliseconds.
-const LAST_TELL_MS: Millis = 400;
-/// Time from the end of a roll-out until operators are told that it is completed, in milliseconds: all
-/// instances have heard of it, and none sends anything to targets that are stopped then.
-const TELL_MS: Millis = 300;
-/// Time for which no target of the version may be there, in milliseconds.
-const AWAY_MS: Millis = 3000;
-/// Time after which a version that all targets have counts as the one in force, in milliseconds: the
-/// list of targets is whole by then.
-const IN_FORCE_MS: Millis = 1000;
-/// Part of the bound that quotas come to at most, and the same before all traffic moves.
-const QUOTA_PART: f64 = 0.9;
-const LOADED_PART: f64 = 0.7;
-/// Longest and shortest time for which few targets have their full load, in milliseconds, and the part of
-/// an order's time that it is between.
-const LONGEST_LOADED_MS: Millis = 3000;
-const LEAST_LOADED_MS: Millis = 600;
-const LOADED_SHARE: f64 = 0.2;
-/// Permits with which that begins: about as many wait at instances for their next request.
-const LOADED_START: f64 = 10.0;
-/// Permits that are recorded ahead: each record is a call of the store, and what is left of them is lost
-/// where the driver changes.
-const RESERVE: u64 = 8;
-
-/// Where a roll-out stands.
+/// Fraction of an order's time that is reserved for moving all traffic.
+const FULL_TIME_SHARE: f64 = 0.2;
+/// Maximum time reserved for that, in milliseconds. Requests at old targets finish within it.
+const MAX_FULL_MS: Millis = 3000;
+/// Minimum time for which all traffic has to go well, in milliseconds. It covers the time of answers and
+/// the interval of the instances' reports.
+const MIN_FULL_MS: Millis = 700;
+/// Time before the deadline at which the outcome has to be decided, in milliseconds. It covers the write
+/// to the store with one retry, the update of all instances and the end of requests at old targets.
+const DECISION_MARGIN_MS: Millis = 1000;
+/// Time before the deadline from which completion is published even if old targets are still busy, in
+/// milliseconds.
+const LATEST_PUBLISH_MS: Millis = 400;
+/// Minimum time from the end of a roll-out until its completion is published, in milliseconds. By then
+/// all instances have been updated and send nothing more to the old targets, which operators then stop.
+const PUBLISH_DELAY_MS: Millis = 300;
+/// Maximum time without any target of the version before it is rolled back, in milliseconds.
+const MAX_ABSENCE_MS: Millis = 3000;
+/// Time after which a version that all targets have counts as active, in milliseconds. The list of
+/// targets is complete by then.
+const DISCOVERY_MS: Millis = 1000;
+/// Maximum fraction of the bound that is granted as quotas.
+const QUOTA_SHARE: f64 = 0.9;
+/// The same while a few targets run at full load.
+const LOADED_QUOTA_SHARE: f64 = 0.7;
+/// Maximum time for which a few targets run at full load, in milliseconds.
+const MAX_LOADED_MS: Millis = 3000;
+/// Minimum time for which a few targets run at full load, in milliseconds.
+const MIN_LOADED_MS: Millis = 600;
+/// Fraction of an order's time for which a few targets run at full load, between those two.
+const LOADED_TIME_SHARE: f64 = 0.2;
+/// Number of additional permits granted when that phase begins: about as many are held unused by
+/// instances.
+const LOADED_START_PERMITS: f64 = 10.0;
+/// Number of permits that are recorded ahead of use. More saves writes to the store, but unused ones are
+/// lost when the driver changes.
+const RESERVE_AHEAD: u64 = 8;
+
+/// Phase of a roll-out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// No target of the version is there.
+    /// No target of the version is known.
     #[default]
     Waiting,
-    /// The version gets the share of each instance.
+    /// A few targets of the version get a small share of requests, until it is judged.
     Canary,
-    /// Few targets of the version get as much as each gets in the end, as far as quotas go.
+    /// A few targets of the version get the load that each will have after completion, within quotas.
     Loaded,
-    /// The version gets all traffic, as far as quotas go.
+    /// The version gets all traffic, within quotas.
     Full,
     /// The version gets all traffic.
     Completed,
-    /// The version gets nothing.
+    /// The version gets no requests.
     RolledBack,
 }
 
-/// What operators are told.
+/// State of a roll-out as published to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// Neither of the others yet.
+    /// Not decided yet.
     Running,
     /// All traffic has moved; the old targets may stop.
     Completed,
-    /// The version is taken back.
+    /// The version has been rolled back.
     RolledBack,
 }
 
 impl Phase {
-    /// What operators are told of it.
+    /// The state published for this phase.
     pub fn state(self) -> State {
         match self {
             Phase::Waiting | Phase::Canary | Phase::Loaded | Phase::Full => State::Running,
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Whether nothing follows it.
+    /// Whether no other phase follows this one.
     pub fn is_final(self) -> bool {
         self.state() != State::Running
     }
@@ -102,244 +105,244 @@
 /// Why a phase has begun.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
-    /// Targets of the version are there.
+    /// Targets of the version have joined.
     Targets,
     /// The version is as good as the old one.
     Good,
-    /// All traffic has gone well.
+    /// The version served all traffic well.
     Moved,
-    /// No target has another version.
+    /// All targets have the version already.
     InForce,
-    /// The version is worse.
+    /// The version is worse than the old one.
     Bad(Fault),
-    /// There were too few answers to judge it before the deadline.
+    /// The version could not be judged good before the deadline.
     Unjudged,
-    /// No target has the version.
+    /// No target of the version is left.
     NoTargets,
     /// The order was withdrawn.
     Withdrawn,
 }
 
-/// What an instance tells the driver: all counts since it saw the order.
+/// An instance's report to the driver; all counts are totals since it saw the order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Input {
-    /// Requests that it sent to the service.
+    /// Number of requests sent to the service, whichever the version.
     pub reached: u64,
-    /// Those among them that it sent to the version.
+    /// Number of requests among them sent to the version.
     pub exposed: u64,
-    /// Requests of its own that still run at old targets.
+    /// Number of the instance's requests that still run at old targets.
     pub old_running: u64,
-    /// Requests that it sends together, for which it needs as many permits.
+    /// Number of permits needed at once, for requests that are sent together.
     pub wants: u64,
-    /// Answers.
+    /// Answers received.
     pub answers: Observations,
 }
 
-/// What the driver knows of one life of an instance.
+/// The driver's state for one incarnation of an instance.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct InstanceState {
     input: Input,
-    /// Requests to the version, in all, that it may send.
+    /// Total number of requests that it may send to the version.
     quota: u64,
-    /// Those that it had sent when this driver first heard of it.
-    first: u64,
+    /// Number of requests sent to the version by its first report to this driver.
+    first_exposed: u64,
 }
 
-impl Told {
-    /// Requests to the version that it has sent or may send.
-    fn given(&self) -> u64 {
+impl InstanceState {
+    /// The number of requests to the version that it has sent or may send.
+    fn granted(&self) -> u64 {
         self.input.exposed.max(self.quota)
     }
 }
 
-/// One roll-out as its driver sees it.
+/// The driver's state of one roll-out.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     order: Order,
     bound: Bound,
     phase: Phase,
-    since: Millis,
-    begun: Millis,
+    phase_since: Millis,
+    started_at: Millis,
     judge: Judge,
-    told: BTreeMap<(Name, u64), Told>,
-    /// Since when no target of the version has been there.
-    away_since: Option<Millis>,
+    instances: BTreeMap<(Name, u64), InstanceState>,
+    /// Since when the version has had no target.
+    absent_since: Option<Millis>,
     had_old: bool,
-    /// Permits that earlier drivers may have given.
-    spent_before: u64,
-    /// Permits that are recorded as given.
+    /// Number of permits that earlier drivers may have granted.
+    inherited_permits: u64,
+    /// Number of permits recorded as granted.
     reserve: u64,
-    /// Requests that had reached the service, and permits that were given, when the phase began.
-    entered: (u64, u64),
-    /// Part of the version's targets that get requests before all traffic moves.
-    few_part: f64,
+    /// Requests that had reached the service, and permits granted, when the phase began.
+    entry_totals: (u64, u64),
+    /// Fraction of the version's targets that get requests before all traffic moves.
+    canary_share: f64,
 }
 
 impl Rollout {
-    /// Begins a roll-out, or goes on with one whose driver is gone. What that one knew comes again from
-    /// the instances; of permits that it recorded, all are taken to be spent.
-    pub fn new(now: Millis, order: Order, bound: Bound, spent_before: u64) -> Rollout {
+    /// Starts a roll-out, or resumes one from a failed driver. Instances report their counts again. All
+    /// permits that earlier drivers recorded count as spent.
+    pub fn new(now: Millis, order: Order, bound: Bound, inherited_permits: u64) -> Rollout {
         Rollout {
             order,
             bound,
             phase: Phase::Waiting,
-            since: now,
-            begun: now,
+            phase_since: now,
+            started_at: now,
             judge: Judge::default(),
-            told: BTreeMap::new(),
-            away_since: None,
+            instances: BTreeMap::new(),
+            absent_since: None,
             had_old: false,
-            spent_before,
-            reserve: spent_before,
-            entered: (0, 0),
-            few_part: 0.0,
+            inherited_permits,
+            reserve: inherited_permits,
+            entry_totals: (0, 0),
+            canary_share: 0.0,
         }
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Its order.
+    /// The order that is rolled out.
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// Offset of its order.
+    /// Offset of the order, which identifies it.
     pub fn offset(&self) -> Horizon {
         self.order.offset
     }
 
-    /// Takes over a final phase that was recorded, whatever this driver had found.
+    /// Adopts a final phase read from the store, which overrides this driver's own decision.
     pub fn end(&mut self, now: Millis, phase: Phase) {
         if phase.is_final() {
-            (self.phase, self.since) = (phase, now);
+            (self.phase, self.phase_since) = (phase, now);
         }
     }
 
-    /// Takes in when the time is over, as an earlier driver recorded or an instance knows; a later end is
-    /// not believed.
+    /// Applies a deadline that an earlier driver recorded or an instance reported, if it is earlier than
+    /// the known one.
     pub fn end_by(&mut self, until: Millis) {
         self.order.until = self.order.until.min(until);
     }
 
-    /// Takes in what a life of an instance tells; each answer counts once however often it is told.
+    /// Records the report of an incarnation of an instance. Repeated and late reports count nothing twice.
     pub fn tell(&mut self, now: Millis, instance: &str, life: u64, input: Input) {
-        let first = input.exposed;
-        let begun = || Told { first, quota: first, ..Told::default() };
-        let told = self.told.entry((instance.to_owned(), life)).or_insert_with(begun);
-        let is_older = input.reached < told.input.reached;
+        let first_exposed = input.exposed;
+        let begun =
+            || InstanceState { first_exposed, quota: first_exposed, ..InstanceState::default() };
+        let state = self.instances.entry((instance.to_owned(), life)).or_insert_with(begun);
+        let is_older = input.reached < state.input.reached;
         if is_older {
             return;
         }
-        self.judge.take(now, &input.answers.since(&told.input.answers));
-        told.input = input;
+        self.judge.take(now, &input.answers.since(&state.input.answers));
+        state.input = input;
     }
 
-    /// Requests that have reached the service, and those among them that the version got or may get. What
-    /// earlier drivers gave permits for counts as spent, though instances that got them may be gone.
+    /// Returns the number of requests that have reached the service, and of those that the version received
+    /// or may still receive. Permits of earlier drivers count as spent, even if their instances are gone.
     pub fn totals(&self) -> (u64, u64) {
-        let reached = self.told.values().map(|it| it.input.reached).sum();
-        let first: u64 = self.told.values().map(|it| it.first).sum();
-        let later: u64 = self.told.values().map(|it| it.given() - it.first).sum();
-        (reached, first.max(self.spent_before) + later)
+        let reached = self.instances.values().map(|it| it.input.reached).sum();
+        let first_exposed: u64 = self.instances.values().map(|it| it.first_exposed).sum();
+        let later: u64 = self.instances.values().map(|it| it.granted() - it.first_exposed).sum();
+        (reached, first_exposed.max(self.inherited_permits) + later)
     }
 
-    /// Answers of the version, and the failures among them.
+    /// The number of answers of the version, and of failures among them.
     pub fn answers(&self) -> (u64, u64) {
         self.judge.answers()
     }
 
-    /// Routes from which answers are wanted most.
+    /// Routes on which the version is not yet known to be good.
     pub fn wanted(&self) -> Vec<Name> {
         self.judge.wanted()
     }
 
-    /// Requests to the version in all that a life of an instance may send. It gets permits as far as the
-    /// phase goes, by its part of the requests; none is ever taken back.
+    /// Raises the quota of an incarnation of an instance if the phase allows, and returns it: the total
+    /// number of requests that it may send to the version. New permits are granted in proportion to the
+    /// instance's share of requests, and never revoked.
     pub fn quota(&mut self, instance: &str, life: u64) -> u64 {
         let (reached, exposed) = self.totals();
-        let left = (self.permits(reached) - exposed as f64).floor();
-        let Some(told) = self.told.get_mut(&(instance.to_owned(), life)) else { return 0 };
-        let before = told.quota.max(told.input.exposed);
-        let unspent = before - told.input.exposed;
-        // While the version is judged, whoever holds enough for its next request leaves the rest to
-        // others.
-        let is_served = self.phase != Phase::Full && told.input.wants <= unspent;
+        let left = (self.grant_limit(reached) - exposed as f64).floor();
+        let Some(state) = self.instances.get_mut(&(instance.to_owned(), life)) else { return 0 };
+        let before = state.quota.max(state.input.exposed);
+        let unspent = before - state.input.exposed;
+        // Until all traffic moves, an instance with enough permits for its next request gets no more.
+        let is_served = self.phase != Phase::Full && state.input.wants <= unspent;
         if 1.0 <= left && !is_served {
-            let part = told.input.reached as f64 / reached.max(1) as f64;
-            // Rounded up as long as something is left: 86 parts of 60 requests are all under one.
-            told.quota = before + (left * part).ceil().min(left) as u64;
+            let part = state.input.reached as f64 / reached.max(1) as f64;
+            // Rounded up, since with many instances each share may be below one permit.
+            state.quota = before + (left * part).ceil().min(left) as u64;
         }
-        told.quota
+        state.quota
     }
 
-    /// Permits that may have been given out, of so many requests that reached the service: what the phase
-    /// goes to, as far as it is recorded.
-    fn permits(&self, reached: u64) -> f64 {
-        self.aim(reached).min(self.reserve as f64)
+    /// The number of permits that may be granted in total: the goal of the phase, up to the number recorded.
+    fn grant_limit(&self, reached: u64) -> f64 {
+        self.permit_goal(reached).min(self.reserve as f64)
     }
 
-    /// Permits that the phase goes to.
-    fn aim(&self, reached: u64) -> f64 {
+    /// The total number of permits that the phase aims to grant.
+    fn permit_goal(&self, reached: u64) -> f64 {
         let limit = self.bound.limit(reached);
-        let (reached_before, given_before) = self.entered;
+        let (reached_before, granted_before) = self.entry_totals;
         let since = reached.saturating_sub(reached_before) as f64;
         match self.phase {
             Phase::Canary => self.bound.judged(reached),
-            Phase::Loaded => (LOADED_PART * limit)
-                .min(given_before as f64 + self.few_part * since + LOADED_START),
-            Phase::Full => QUOTA_PART * limit,
+            Phase::Loaded => (LOADED_QUOTA_SHARE * limit)
+                .min(granted_before as f64 + self.canary_share * since + LOADED_START_PERMITS),
+            Phase::Full => QUOTA_SHARE * limit,
             Phase::Waiting | Phase::Completed | Phase::RolledBack => 0.0,
         }
     }
 
-    /// How many permits have to be recorded as given, before more are; `None` where enough are. They are
-    /// recorded ahead, so that a driver that takes over knows of all that were given.
+    /// The total number of permits to record before more are granted; `None` if enough are recorded. They
+    /// are recorded ahead, so that a driver that takes over knows of all granted ones.
     pub fn reserve_due(&self) -> Option<u64> {
-        let (reached, given) = self.totals();
-        let aim = self.aim(reached) as u64;
-        let is_short = self.reserve < aim && self.reserve < given + RESERVE / 2;
-        is_short.then_some(aim.max(given) + RESERVE)
+        let (reached, granted) = self.totals();
+        let goal = self.permit_goal(reached) as u64;
+        let is_short = self.reserve < goal && self.reserve < granted + RESERVE_AHEAD / 2;
+        is_short.then_some(goal.max(granted) + RESERVE_AHEAD)
     }
 
-    /// Takes in that so many permits are recorded as given.
+    /// Confirms that `count` permits in total have been recorded as granted.
     pub fn reserved(&mut self, count: u64) {
         self.reserve = self.reserve.max(count);
     }
 
-    /// Permits that are recorded as given.
+    /// The number of permits recorded as granted.
     pub fn reserve(&self) -> u64 {
         self.reserve
     }
 
-    /// The phase that has to begin now, if one has, given the targets of the version and the others
-    /// that may get work. It begins with [`Rollout::enter`], once it is recorded.
+    /// The phase that is due now, if any, and its reason, given how many targets of the new version and of
+    /// old ones may get work. The caller records it where needed, then calls [`Rollout::enter`].
     pub fn next(&mut self, now: Millis, new: usize, old: usize) -> Option<(Phase, Reason)> {
         if self.phase.is_final() {
             return None;
         }
         self.had_old |= old != 0;
-        self.few_part = canary_targets(&self.bound, old, new) as f64 / new.max(1) as f64;
+        self.canary_share = canary_targets(&self.bound, old, new) as f64 / new.max(1) as f64;
         if let Verdict::Bad(fault) = self.judge.verdict() {
             return Some((Phase::RolledBack, Reason::Bad(fault)));
         }
         if new != 0 {
-            self.away_since = None;
+            self.absent_since = None;
         }
-        let is_last = self.latest() <= now;
+        let is_due = self.decision_deadline() <= now;
         if new == 0 {
-            let since = *self.away_since.get_or_insert(now);
-            let is_away = self.phase != Phase::Waiting && since + AWAY_MS <= now;
-            return (is_last || is_away).then_some((Phase::RolledBack, Reason::NoTargets));
+            let since = *self.absent_since.get_or_insert(now);
+            let is_absent = self.phase != Phase::Waiting && since + MAX_ABSENCE_MS <= now;
+            return (is_due || is_absent).then_some((Phase::RolledBack, Reason::NoTargets));
         }
         match self.phase {
             Phase::Waiting if old == 0 && !self.had_old => {
-                let is_sure = self.begun + IN_FORCE_MS <= now;
-                is_sure.then_some((Phase::Completed, Reason::InForce))
+                let is_settled = self.started_at + DISCOVERY_MS <= now;
+                is_settled.then_some((Phase::Completed, Reason::InForce))
             }
-            Phase::Waiting if is_last => Some((Phase::RolledBack, Reason::Unjudged)),
+            Phase::Waiting if is_due => Some((Phase::RolledBack, Reason::Unjudged)),
             Phase::Waiting => Some((Phase::Canary, Reason::Targets)),
             Phase::Canary => self.after_canary(now),
             Phase::Loaded => self.after_loaded(now),
@@ -349,74 +352,74 @@
 
     fn after_canary(&self, now: Millis) -> Option<(Phase, Reason)> {
         let is_good = self.judge.verdict() == Verdict::Good;
-        if is_good && self.loaded_from() <= now {
+        if is_good && self.earliest_loaded() <= now {
             return Some((Phase::Loaded, Reason::Good));
         }
-        let is_late = self.latest() <= now + LEAST_FULL_MS + LEAST_LOADED_MS;
-        is_late.then_some((Phase::RolledBack, Reason::Unjudged))
+        let is_too_late = self.decision_deadline() <= now + MIN_FULL_MS + MIN_LOADED_MS;
+        is_too_late.then_some((Phase::RolledBack, Reason::Unjudged))
     }
 
     fn after_loaded(&self, now: Millis) -> Option<(Phase, Reason)> {
         let is_good = self.judge.verdict() == Verdict::Good;
-        let has_lasted = self.since + LEAST_LOADED_MS <= now;
-        if is_good && has_lasted && self.full_from() <= now {
+        let has_lasted = self.phase_since + MIN_LOADED_MS <= now;
+        if is_good && has_lasted && self.earliest_full() <= now {
             return Some((Phase::Full, Reason::Good));
         }
-        let is_late = self.latest() <= now + LEAST_FULL_MS;
-        (is_late && !is_good).then_some((Phase::RolledBack, Reason::Unjudged))
+        let is_too_late = self.decision_deadline() <= now + MIN_FULL_MS;
+        (is_too_late && !is_good).then_some((Phase::RolledBack, Reason::Unjudged))
     }
 
     fn after_full(&self, now: Millis) -> Option<(Phase, Reason)> {
         let is_good = self.judge.verdict() == Verdict::Good;
-        let has_lasted = self.since + LEAST_FULL_MS <= now;
-        let is_idle = self.is_idle();
-        let is_last = self.latest() <= now;
-        if has_lasted && is_good && (is_idle || is_last) {
+        let has_lasted = self.phase_since + MIN_FULL_MS <= now;
+        let is_old_idle = self.is_old_idle();
+        let is_due = self.decision_deadline() <= now;
+        if has_lasted && is_good && (is_old_idle || is_due) {
             return Some((Phase::Completed, Reason::Moved));
         }
-        (is_last && !is_good).then_some((Phase::RolledBack, Reason::Unjudged))
+        (is_due && !is_good).then_some((Phase::RolledBack, Reason::Unjudged))
     }
 
-    /// Whether nothing runs at old targets, as far as instances have told.
-    fn is_idle(&self) -> bool {
-        self.told.values().all(|it| it.input.old_running == 0)
+    /// Whether no instance reports requests that run at old targets.
+    fn is_old_idle(&self) -> bool {
+        self.instances.values().all(|it| it.input.old_running == 0)
     }
 
-    /// Whether operators may be told where it stands. When they hear that it is completed, they stop the
-    /// old targets, with what runs there.
+    /// Whether the state may be published. Completion is delayed while old targets are busy, since operators
+    /// stop them once it is published.
     pub fn may_tell(&self, now: Millis) -> bool {
-        let is_heard = self.since + TELL_MS <= now;
-        let is_last = self.order.until <= now + LAST_TELL_MS;
-        self.phase != Phase::Completed || (is_heard && (is_last || self.is_idle()))
+        let is_propagated = self.phase_since + PUBLISH_DELAY_MS <= now;
+        let is_due = self.order.until <= now + LATEST_PUBLISH_MS;
+        self.phase != Phase::Completed || (is_propagated && (is_due || self.is_old_idle()))
     }
 
-    /// Begins a phase.
+    /// Enters a phase unless the current one is final.
     pub fn enter(&mut self, now: Millis, phase: Phase) {
         if !self.phase.is_final() {
-            (self.phase, self.since) = (phase, now);
-            self.entered = self.totals();
+            (self.phase, self.phase_since) = (phase, now);
+            self.entry_totals = self.totals();
         }
     }
 
-    /// Ends the roll-out of an order that was withdrawn, if it has not ended.
+    /// The phase that is due since the order was withdrawn; `None` if the roll-out has already ended.
     pub fn withdrawn(&self) -> Option<(Phase, Reason)> {
         (!self.phase.is_final()).then_some((Phase::RolledBack, Reason::Withdrawn))
     }
 
-    /// When all traffic moves at the earliest: as late as it can, since a version may turn bad.
-    fn full_from(&self) -> Millis {
-        let kept = (FULL_PART * self.order.duration_ms as f64) as Millis;
-        self.latest().saturating_sub(kept.clamp(LEAST_FULL_MS, LONGEST_FULL_MS))
+    /// The earliest time for all traffic to move. It is as late as possible, since a version may turn bad.
+    fn earliest_full(&self) -> Millis {
+        let reserved = (FULL_TIME_SHARE * self.order.duration_ms as f64) as Millis;
+        self.decision_deadline().saturating_sub(reserved.clamp(MIN_FULL_MS, MAX_FULL_MS))
     }
 
-    /// When few targets get their full load at the earliest.
-    fn loaded_from(&self) -> Millis {
-        let kept = (LOADED_SHARE * self.order.duration_ms as f64) as Millis;
-        self.full_from().saturating_sub(kept.clamp(LEAST_LOADED_MS, LONGEST_LOADED_MS))
+    /// The earliest time for a few targets to get their full load.
+    fn earliest_loaded(&self) -> Millis {
+        let reserved = (LOADED_TIME_SHARE * self.order.duration_ms as f64) as Millis;
+        self.earliest_full().saturating_sub(reserved.clamp(MIN_LOADED_MS, MAX_LOADED_MS))
     }
 
-    /// When the roll-out has to be decided.
-    fn latest(&self) -> Millis {
-        self.order.until.saturating_sub(MARGIN_MS)
+    /// When the outcome has to be decided at the latest.
+    fn decision_deadline(&self) -> Millis {
+        self.order.until.saturating_sub(DECISION_MARGIN_MS)
     }
 }
