--- a/crates/holdpoint-core/src/quarantine.rs
+++ b/crates/holdpoint-core/src/quarantine.rs
@@ -1,4 +1,7 @@
-//! Requests that end the targets that run them.
+//! Quarantine of requests that crash the targets that run them.
+//!
+//! When a target crashes, each request that ran there becomes a suspect. A request under which several
+//! incarnations of targets have crashed, without a success in between, is sent to no target for some time.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -15,41 +18,38 @@
     ids::{Millis, Name},
 };
 
-/// Start of the keys of held requests in the store; the fingerprint follows.
+/// Prefix of the keys of quarantined requests in the store; the fingerprint follows.
 pub const KEY_PREFIX: &str = "quarantine/";
-/// Ends of targets after which a request is held. One or two may be chance: as 46 engines ended within 16 s
-/// under a few such requests, 28 of 203 requests that broke off met two ends, and none three.
+/// Number of crashes after which a request is quarantined. Innocent requests may meet one or two by chance.
 pub const ENDS: usize = 3;
-/// Ends from which on all instances look out for a request's good end.
-const WATCHED_ENDS: usize = 2;
-/// Most ends that are kept of one request.
-const MOST_ENDS: usize = 64;
-/// How long a request is held, in milliseconds: callers repeat for seconds, and people have to mend
-/// what ends their targets.
+/// Number of crashes from which on all instances report a request's success.
+const WATCH_CRASHES: usize = 2;
+/// Maximum number of crashes kept for one request.
+const MAX_CRASHES: usize = 64;
+/// How long a request is quarantined, in milliseconds: longer than callers retry, and long enough for
+/// operators to react.
 pub const HOLD_MS: Millis = 600_000;
-/// How long the ends under a request count after the last of them, in milliseconds: as long as it would be
-/// held.
-const SUSPECT_MS: Millis = 600_000;
-/// Most suspects: with two ends each about 2 MB, by the size of their fields. 40 engines that end at once with
-/// 48 requests each make 2,000.
-const MOST_SUSPECTS: usize = 8192;
-/// Most requests that are held.
-const MOST_HELD: usize = 1024;
+/// How long the crashes under a request count after the last of them, in milliseconds.
+const SUSPECT_RETENTION_MS: Millis = 600_000;
+/// Maximum number of suspects: about 2 MB with two crashes each.
+const MAX_SUSPECTS: usize = 8192;
+/// Maximum number of quarantined requests.
+const MAX_QUARANTINED: usize = 1024;
 
-/// What two requests have in common that ask for the same: caller, method, path and body, under
-/// whatever ids they come and at whichever instance.
+/// Identifies repetitions of the same request at any instance, whatever their request ids: a hash of
+/// organisation, method, host, path and body.
 ///
-/// A cryptographic hash, so that nobody can make a request that is taken for another caller's.
+/// The hash is cryptographic, so that nobody can craft a request that is treated as another caller's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Fingerprint of a request: its parts are the organisation, the method, the host, the path with
-    /// its query, and the body.
+    /// Hashes a request's parts: the organisation, the method, the host, the path with its query, and the
+    /// body.
     pub fn new(parts: &[&[u8]]) -> Fingerprint {
         let mut hash = Sha256::new();
         for part in parts {
-            // With its length, so that no byte can move from one part to the next.
+            // The length is hashed as well, so that no byte can move from one part to the next.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
@@ -72,141 +72,139 @@
     }
 }
 
-/// One life of a target: its id, and when that life began, as the target tells it in milliseconds of
-/// Unix time; 0 where it does not tell.
+/// One incarnation of a target: its id and its start time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Life {
     /// Target.
     pub target: TargetId,
-    /// When it was born.
+    /// Start time that the target reports, in milliseconds of Unix time; 0 if it reports none.
     pub born: Millis,
 }
 
-/// A target that ended while it ran a request, as far as its caller can tell: the connection broke off.
+/// A crash of a target while it ran a request, seen by the caller as a broken connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRun {
     /// Request.
     pub fingerprint: Fingerprint,
     /// Service of the target.
     pub service: Name,
-    /// Target.
+    /// Incarnation of the target that crashed.
     pub life: Life,
 }
 
-/// A request whose targets have ended.
+/// A request under which targets have crashed.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    ends: Vec<EndedRun>,
-    /// When it was last heard of.
-    last: Millis,
-    /// Whether the others were asked to look out for it.
+    crashes: Vec<EndedRun>,
+    last_seen: Millis,
+    /// Whether all instances have been asked to report its success.
     is_watched: bool,
 }
 
-/// A request that is held.
+/// A quarantined request.
 #[derive(Clone, Debug)]
-struct Held {
+struct QuarantineEntry {
     until: Millis,
-    /// Targets that ended under it; none where another instance has found it.
-    ends: Vec<EndedRun>,
+    /// Crashes under it; none if another instance quarantined it.
+    crashes: Vec<EndedRun>,
 }
 
-/// What a good end of a request means.
+/// Effect of a request's success on the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Passed {
-    /// Nothing.
+    /// No effect.
     Nothing,
-    /// Whoever judges its ends has to know of it.
+    /// The instance that judges its crashes has to be informed.
     News,
-    /// The request was held, and is no more.
+    /// The request has been released from quarantine.
     Released,
 }
 
-/// What was found of a request.
+/// A decision on a request, sent to all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Some targets have ended under it. Whoever sees it run to a good end says so.
+    /// Some targets have crashed under it; instances report if it succeeds.
     Watch(Fingerprint),
-    /// It goes to no target for so many milliseconds.
+    /// It is quarantined for this many milliseconds.
     Hold(Fingerprint, Millis),
-    /// It has run to a good end.
+    /// It has succeeded and is cleared.
     Release(Fingerprint),
 }
 
-/// The requests under which targets have ended, and those that go to no target any more.
+/// The suspected and the quarantined requests.
 ///
-/// When a target ends, all that ran there is suspect. The request that ended it meets the next end at
-/// the next target; its neighbours run to a good end elsewhere, which clears them. A request is held
-/// once [`ENDS`] lives of targets have ended under it with no good end between, unless each of
-/// them ended under a request that is held already.
+/// When a target crashes, all requests that ran there are suspects. The one at fault also crashes the next
+/// target, while its neighbours succeed elsewhere, which clears them. A request is quarantined once
+/// [`ENDS`] incarnations of targets have crashed under it without a success in between, unless all of
+/// those crashes are explained by a request that is already quarantined.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
-    held: HashMap<Fingerprint, Held>,
+    quarantined: HashMap<Fingerprint, QuarantineEntry>,
 }
 
 impl Quarantine {
-    /// Takes in that a target ended under a request; whether that was not known.
+    /// Records a crash of a target under a request. Returns whether it is a new one.
     pub fn ended(&mut self, now: Millis, run: EndedRun) -> bool {
-        if let Some(it) = self.held.get_mut(&run.fingerprint) {
-            return note_end(&mut it.ends, run);
+        if let Some(it) = self.quarantined.get_mut(&run.fingerprint) {
+            return add_crash(&mut it.crashes, run);
         }
-        self.make_room(now);
+        self.evict_suspects(now);
         let suspect = self.suspects.entry(run.fingerprint).or_default();
-        if suspect.last + SUSPECT_MS <= now {
+        if suspect.last_seen + SUSPECT_RETENTION_MS <= now {
             *suspect = Suspect::default();
         }
-        suspect.last = now;
-        note_end(&mut suspect.ends, run)
+        suspect.last_seen = now;
+        add_crash(&mut suspect.crashes, run)
     }
 
-    /// Takes in that a request has run to a good end at a service. That says nothing of its ends at others:
-    /// the stages of a request that ends its engines are made without harm.
+    /// Records that a request succeeded at a service. Crashes at other services still count: a request that
+    /// crashes one stage's targets may pass all other stages.
     pub fn passed(&mut self, fingerprint: Fingerprint, service: &str) -> Passed {
-        if let Some(it) = self.held.get(&fingerprint) {
-            return match it.ends.iter().any(|it| it.service == service) {
-                // It was a neighbour of one that ended its targets.
+        if let Some(it) = self.quarantined.get(&fingerprint) {
+            return match it.crashes.iter().any(|it| it.service == service) {
+                // It only ran beside the request that crashed its targets.
                 true => {
-                    self.held.remove(&fingerprint);
+                    self.quarantined.remove(&fingerprint);
                     Passed::Released
                 }
-                false if it.ends.is_empty() => Passed::News,
+                false if it.crashes.is_empty() => Passed::News,
                 false => Passed::Nothing,
             };
         }
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return Passed::Nothing };
-        if suspect.ends.is_empty() {
+        if suspect.crashes.is_empty() {
             return Passed::News;
         }
-        let before = suspect.ends.len();
-        suspect.ends.retain(|it| it.service != service);
-        let after = suspect.ends.len();
+        let before = suspect.crashes.len();
+        suspect.crashes.retain(|it| it.service != service);
+        let after = suspect.crashes.len();
         if after == 0 {
             self.suspects.remove(&fingerprint);
         }
         if after == before { Passed::Nothing } else { Passed::News }
     }
 
-    /// What is found by now and was not found before: requests to hold, and to watch.
+    /// Returns new decisions: requests to quarantine, which takes effect here at once, and to watch.
     pub fn judge(&mut self, now: Millis) -> Vec<Verdict> {
-        let of_held = self.held.values().flat_map(|it| &it.ends);
-        let explained: HashSet<&Life> = of_held.map(|it| &it.life).collect();
-        let is_guilty = |it: &Suspect| {
-            ENDS <= it.ends.len() && it.ends.iter().any(|it| !explained.contains(&it.life))
+        let known_crashes = self.quarantined.values().flat_map(|it| &it.crashes);
+        let explained: HashSet<&Life> = known_crashes.map(|it| &it.life).collect();
+        let is_over_limit = |it: &Suspect| {
+            ENDS <= it.crashes.len() && it.crashes.iter().any(|it| !explained.contains(&it.life))
         };
-        let guilty = self.suspects.iter().filter(|it| is_guilty(it.1)).map(|it| *it.0);
-        let guilty: Vec<Fingerprint> = guilty.collect();
+        let culprits = self.suspects.iter().filter(|it| is_over_limit(it.1)).map(|it| *it.0);
+        let culprits: Vec<Fingerprint> = culprits.collect();
         let mut verdicts = Vec::new();
-        for fingerprint in guilty {
-            let ends = self.suspects.remove(&fingerprint).unwrap_or_default().ends;
-            self.hold(now, fingerprint, HOLD_MS);
-            if let Some(it) = self.held.get_mut(&fingerprint) {
-                it.ends = ends;
+        for fingerprint in culprits {
+            let crashes = self.suspects.remove(&fingerprint).unwrap_or_default().crashes;
+            self.quarantine(now, fingerprint, HOLD_MS);
+            if let Some(it) = self.quarantined.get_mut(&fingerprint) {
+                it.crashes = crashes;
             }
             verdicts.push(Verdict::Hold(fingerprint, HOLD_MS));
         }
         for (fingerprint, suspect) in &mut self.suspects {
-            if WATCHED_ENDS <= suspect.ends.len() && !suspect.is_watched {
+            if WATCH_CRASHES <= suspect.crashes.len() && !suspect.is_watched {
                 suspect.is_watched = true;
                 verdicts.push(Verdict::Watch(*fingerprint));
             }
@@ -214,97 +212,96 @@
         verdicts
     }
 
-    /// Takes in what another instance has found; whether that was not known.
+    /// Applies a decision of another instance. Returns whether it changed anything.
     pub fn told(&mut self, now: Millis, verdict: Verdict) -> bool {
         match verdict {
-            Verdict::Hold(it, ms) => self.hold(now, it, ms),
+            Verdict::Hold(it, ms) => self.quarantine(now, it, ms),
             Verdict::Release(it) => {
                 let was_suspect = self.suspects.remove(&it).is_some();
-                self.held.remove(&it).is_some() || was_suspect
+                self.quarantined.remove(&it).is_some() || was_suspect
             }
             Verdict::Watch(it) => {
-                self.make_room(now);
+                self.evict_suspects(now);
                 let suspect = self.suspects.entry(it).or_default();
-                suspect.last = now;
+                suspect.last_seen = now;
                 !std::mem::replace(&mut suspect.is_watched, true)
             }
         }
     }
 
-    /// Holds a request for so many milliseconds; whether it was not held.
-    fn hold(&mut self, now: Millis, fingerprint: Fingerprint, ms: Millis) -> bool {
-        self.held.retain(|_, it| now < it.until);
+    /// Quarantines a request for `ms` milliseconds. Returns whether it was not quarantined before.
+    fn quarantine(&mut self, now: Millis, fingerprint: Fingerprint, ms: Millis) -> bool {
+        self.quarantined.retain(|_, it| now < it.until);
         let until = now + ms.min(HOLD_MS);
-        if let Some(it) = self.held.get_mut(&fingerprint) {
+        if let Some(it) = self.quarantined.get_mut(&fingerprint) {
             it.until = it.until.max(until);
             return false;
         }
-        if MOST_HELD <= self.held.len()
-            && let Some(first) = self.held.iter().min_by_key(|it| it.1.until).map(|it| *it.0)
+        if MAX_QUARANTINED <= self.quarantined.len()
+            && let Some(first) = self.quarantined.iter().min_by_key(|it| it.1.until).map(|it| *it.0)
         {
-            self.held.remove(&first);
+            self.quarantined.remove(&first);
         }
         self.suspects.remove(&fingerprint);
-        self.held.insert(fingerprint, Held { until, ends: Vec::new() });
+        self.quarantined.insert(fingerprint, QuarantineEntry { until, crashes: Vec::new() });
         true
     }
 
-    /// For how much longer a request is held, in milliseconds; `None` where it is not.
+    /// Remaining quarantine of a request in milliseconds; `None` if it is not quarantined.
     pub fn held_ms(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
-        let until = self.held.get(&fingerprint)?.until;
+        let until = self.quarantined.get(&fingerprint)?.until;
         (now < until).then(|| until - now)
     }
 
-    /// Whether a good end of a request is of interest.
+    /// Whether a request is suspected or quarantined, so that its success has to be recorded.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
-        self.suspects.contains_key(&fingerprint) || self.held.contains_key(&fingerprint)
+        self.suspects.contains_key(&fingerprint) || self.quarantined.contains_key(&fingerprint)
     }
 
-    /// Whether a request's work shares no call with that of others, so that the next end would hit
-    /// itself only.
+    /// Whether a request's work items must not share a batch with those of others, so that the next crash
+    /// affects no other request.
     pub fn runs_alone(&self, fingerprint: Fingerprint) -> bool {
         self.suspects.get(&fingerprint).is_some_and(|it| it.is_watched)
-            || self.held.contains_key(&fingerprint)
+            || self.quarantined.contains_key(&fingerprint)
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request is suspected or quarantined.
     pub fn is_empty(&self) -> bool {
-        self.suspects.is_empty() && self.held.is_empty()
+        self.suspects.is_empty() && self.quarantined.is_empty()
     }
 
-    /// Ends at a service that no request is held for.
+    /// Crashes at a service under requests that are not quarantined.
     pub fn ends_at<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a EndedRun> {
-        let ends = self.suspects.values().flat_map(|it| &it.ends);
-        ends.filter(move |it| it.service == service)
+        let crashes = self.suspects.values().flat_map(|it| &it.crashes);
+        crashes.filter(move |it| it.service == service)
     }
 
-    /// Forgets what is over. As long as anything is known, each request that comes is hashed.
+    /// Removes expired entries. While any entry remains, each incoming request has to be hashed.
     pub fn forget(&mut self, now: Millis) {
-        self.suspects.retain(|_, it| now < it.last + SUSPECT_MS);
-        self.held.retain(|_, it| now < it.until);
+        self.suspects.retain(|_, it| now < it.last_seen + SUSPECT_RETENTION_MS);
+        self.quarantined.retain(|_, it| now < it.until);
     }
 
-    /// Forgets the oldest suspects where there are too many.
-    fn make_room(&mut self, now: Millis) {
-        if self.suspects.len() < MOST_SUSPECTS {
+    /// Evicts the oldest suspects if there are too many.
+    fn evict_suspects(&mut self, now: Millis) {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         self.forget(now);
-        let mut oldest: Vec<_> = self.suspects.iter().map(|(it, of)| (of.last, *it)).collect();
+        let mut oldest: Vec<_> = self.suspects.iter().map(|(it, of)| (of.last_seen, *it)).collect();
         oldest.sort_unstable();
-        for (_, it) in
-            oldest.into_iter().take(self.suspects.len().saturating_sub(MOST_SUSPECTS / 2))
+        for (_, it) in oldest.into_iter().take(self.suspects.len().saturating_sub(MAX_SUSPECTS / 2))
         {
             self.suspects.remove(&it);
         }
     }
 }
 
-/// Adds the end of a life that is not known yet; whether it was not.
-fn note_end(ends: &mut Vec<EndedRun>, run: EndedRun) -> bool {
-    let is_new = ends.len() < MOST_ENDS && ends.iter().all(|it| it.life != run.life);
+/// Adds a crash unless one of the same incarnation is known. Returns whether it was added.
+fn add_crash(crashes: &mut Vec<EndedRun>, run: EndedRun) -> bool {
+    let is_new = crashes.len() < MAX_CRASHES && crashes.iter().all(|it| it.life != run.life);
     if is_new {
-        ends.push(run);
+        crashes.push(run);
     }
     is_new
 }
