--- a/crates/holdpoint-core/src/backoffs.rs
+++ b/crates/holdpoint-core/src/backoffs.rs
@@ -1,7 +1,7 @@
-//! Targets that have asked this instance to back off, and until when.
+//! Active backoffs: targets that have asked this instance to back off, and until when.
 //!
-//! A back-off concerns one target and the one instance that it was asked of: others may still send there. It is
-//! no failure of the target, and takes it out for no longer than it asked for.
+//! A backoff applies to one target and to the one instance that was asked; other instances may still send
+//! there. It does not count as a failure of the target and ends after the requested time.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,18 +10,18 @@
     ids::{Millis, Name},
 };
 
-/// Longest back-off, in milliseconds. A target that names a longer one by mistake would lose all work of this
-/// instance for good; one that means it asks again, of one request each time.
-const LONGEST_MS: Millis = 600_000;
+/// Maximum backoff, in milliseconds. A longer one may be a mistake; a target that means it asks again, at
+/// the cost of one request each time.
+const MAX_BACKOFF_MS: Millis = 600_000;
 
-/// Targets of which it is remembered that they ask for a time which cannot be read.
-const MOST_INVALID: usize = 64;
+/// Maximum number of targets remembered for requesting an unreadable backoff.
+const MAX_INVALID: usize = 64;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct BackingOff {
+struct ActiveBackoff {
     /// Until when, in milliseconds.
     until: Millis,
-    /// When the life of the target began that has asked, where it tells that.
+    /// Start of the target's incarnation that asked, in milliseconds of Unix time, if it reports one.
     born: Option<Millis>,
 }
 
@@ -29,13 +29,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Backoffs {
     /// By service and target.
-    by_service: HashMap<Name, HashMap<TargetId, BackingOff>>,
+    by_service: HashMap<Name, HashMap<TargetId, ActiveBackoff>>,
     invalid: HashSet<TargetId>,
 }
 
 impl Backoffs {
-    /// Takes in that a target asks for so many milliseconds from now on. The latest end holds. Returns the time
-    /// that is left where that has become longer.
+    /// Records that a target requests a backoff of `ms` milliseconds from now. The latest end applies. Returns
+    /// the applied backoff in milliseconds if it extends the current one.
     pub fn request(
         &mut self,
         now: Millis,
@@ -43,7 +43,7 @@
         born: Option<Millis>,
         ms: Millis,
     ) -> Option<Millis> {
-        let ms = ms.min(LONGEST_MS);
+        let ms = ms.min(MAX_BACKOFF_MS);
         if ms == 0 {
             return None;
         }
@@ -58,19 +58,19 @@
         Some(ms)
     }
 
-    /// Takes in that a target asks for a time which cannot be read: what it asked for before holds. Returns whether
-    /// that is worth a line in the log.
+    /// Records that a target requests a backoff of unreadable length, which changes nothing. Returns whether to
+    /// log that: once for each target, and for a limited number of them.
     pub fn note_invalid(&mut self, id: &str) -> bool {
-        self.invalid.len() < MOST_INVALID && self.invalid.insert(id.to_owned())
+        self.invalid.len() < MAX_INVALID && self.invalid.insert(id.to_owned())
     }
 
-    /// How much longer a target gets nothing of this instance, in milliseconds.
+    /// Remaining backoff of a target in milliseconds; 0 if none is active.
     pub fn left(&self, now: Millis, (id, service): (&str, &str)) -> Millis {
         let known = self.by_service.get(service).and_then(|it| it.get(id));
         known.map_or(0, |it| it.until.saturating_sub(now))
     }
 
-    /// Targets of a service that get nothing of this instance now, and until when in milliseconds.
+    /// Targets of a service with an active backoff, and its end in milliseconds.
     pub fn of_service<'a>(
         &'a self,
         now: Millis,
@@ -80,7 +80,7 @@
         its.map(|(id, it)| (id, it.until)).filter(move |it| now < it.1)
     }
 
-    /// Takes in that a life of a target began at `born`, which knows nothing of what the lives before asked for.
+    /// Drops the backoffs requested by earlier incarnations of a target than the one that started at `born`.
     pub fn new_life(&mut self, id: &str, born: Option<Millis>) {
         for of_service in self.by_service.values_mut() {
             if of_service.get(id).is_some_and(|it| it.born < born) {
@@ -90,18 +90,18 @@
         self.by_service.retain(|_, it| !it.is_empty());
     }
 
-    /// Forgets those that are over.
+    /// Removes expired backoffs.
     pub fn forget(&mut self, now: Millis) {
         self.by_service.values_mut().for_each(|it| it.retain(|_, it| now < it.until));
         self.by_service.retain(|_, it| !it.is_empty());
     }
 
-    /// Number of targets that are remembered.
+    /// The number of targets with a recorded backoff; expired ones count until they are removed.
     pub fn len(&self) -> usize {
         self.by_service.values().map(HashMap::len).sum()
     }
 
-    /// Whether no target is remembered.
+    /// Whether no backoff is recorded.
     pub fn is_empty(&self) -> bool {
         self.by_service.is_empty()
     }
--- a/crates/holdpoint-core/src/notice.rs
+++ b/crates/holdpoint-core/src/notice.rs
@@ -1,34 +1,34 @@
-//! What a target says of itself in an answer, whatever the answer is to.
+//! What a target reports about itself in any answer: draining, backoff, rate limit and load.
 
 use crate::{choice::Load, ids::Millis, target_limits::NamedLimit};
 
-/// What a target says of itself in an answer.
+/// A target's report about itself in an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Whether it says that it is leaving.
+    /// Whether the target is draining.
     pub is_leaving: bool,
-    /// Whether it asks the sender to back off.
+    /// Backoff that it requests from the sender.
     pub backoff: Backoff,
-    /// What it says of the requests that it takes from all instances together.
+    /// Limit on the rate of requests from all instances together.
     pub limit: NamedLimit,
-    /// Its load, where told.
+    /// Its load, if reported.
     pub load: Option<Load>,
 }
 
-/// Whether an answer that turns a request away asks its sender to back off.
+/// The backoff that an answer requests when it refuses a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Backoff {
-    /// It does not.
+    /// No backoff.
     #[default]
     None,
-    /// It does, for so many milliseconds.
+    /// Backoff for this many milliseconds.
     For(Millis),
-    /// It does, for a time that cannot be read.
+    /// Backoff for a time that cannot be parsed; holds the value as received.
     Invalid(String),
 }
 
 impl Backoff {
-    /// Whether it does.
+    /// Whether a backoff is requested, including one of unreadable length.
     pub fn is_requested(&self) -> bool {
         *self != Backoff::None
     }
--- a/crates/holdpoint-core/src/target_limits.rs
+++ b/crates/holdpoint-core/src/target_limits.rs
@@ -1,10 +1,9 @@
-//! Limits that targets name: how many requests a second a target takes from all instances together.
+//! Rate limits that targets announce, in requests per second from all instances together.
 //!
-//! One instance keeps the account of a target, and all others ask it before they send. Shares of the limit
-//! that each instance spent by itself would leave most of a small one unused: with one request a second and
-//! eight instances each could send every eighth second only, whoever the requests come to. The account is the
-//! time of the last request that it let through; the next one follows after the time that the limit states. An
-//! instance that begins to keep one knows nothing of what the one before let through, and waits.
+//! One instance owns the rate-limit state of a target, and all others ask it before they send. A fixed share
+//! for each instance would leave most of a small limit unused when requests arrive unevenly. The state is the
+//! time of the last admitted request; the next one is admitted after the interval that the limit implies. A
+//! new owner doesn't know what the previous one admitted, so it waits first.
 
 use std::collections::HashMap;
 
@@ -15,75 +14,75 @@
     ids::{Millis, Name},
 };
 
-/// Least requests a second that are sent to a target: one that takes none is still asked now and then, since
-/// only its answers tell that its limit has ended.
-const LEAST_PER_S: f64 = 0.1;
-/// How much of the time that was not used requests may catch up on, in milliseconds: they come in clumps.
+/// Minimum rate of requests to a target, per second. A target with a limit of zero still gets some, since only
+/// its answers show that the limit has ended.
+const MIN_PER_S: f64 = 0.1;
+/// Maximum unused time that later requests may use up, in milliseconds, since requests arrive in bursts.
 const BURST_MS: f64 = 100.0;
-/// How long an instance that begins to keep an account lets nothing through at least, in milliseconds: as long
-/// as instances may differ in who keeps it.
-const TAKE_OVER_MS: Millis = 1000;
-/// How long it is remembered that a limit has ended, or what was told of a target that is not known, in
-/// milliseconds: longer than news of either travel.
-const HEARD_KEPT_MS: Millis = 60_000;
-/// Age from which on an asker's word of a limit counts as out of date where whoever keeps the accounts knows of
-/// none, in milliseconds: the asker has missed that it ended.
+/// Minimum time for which a new owner admits nothing, in milliseconds. It covers the time for which
+/// instances may disagree on the owner.
+const TAKEOVER_WAIT_MS: Millis = 1000;
+/// How long ended limits and limits of unknown targets are kept, in milliseconds: longer than updates take
+/// to arrive.
+const RETENTION_MS: Millis = 60_000;
+/// Age from which a requester's limit counts as stale if the owner knows of none, in milliseconds. The
+/// requester has missed that the limit ended.
 const STALE_MS: Millis = 10_000;
-/// Longest time that news of a limit take from one instance to another, in milliseconds.
-const ON_THE_WAY_MS: Millis = 100;
-/// Largest part of a limit that is let through while another instance may keep the account too, as on the
-/// other side of a cut.
-const UNSURE_PART: f64 = 0.5;
+/// Maximum time that a limit update takes between instances, in milliseconds.
+const MAX_TRANSIT_MS: Millis = 100;
+/// Maximum fraction of a limit that is admitted while another instance may own the state too, as during a
+/// network partition.
+const CONTESTED_SHARE: f64 = 0.5;
 
-/// What an answer of a target says of its limit.
+/// The limit announced in a target's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum NamedLimit {
-    /// It names none.
+    /// No limit.
     #[default]
     Nothing,
-    /// So many requests a second.
+    /// Requests per second.
     PerSecond(f64),
-    /// Something that cannot be read: what was known before holds.
+    /// A value that cannot be parsed; the known limit stays.
     Invalid,
 }
 
-/// What news of a limit changed.
+/// Effect of an update on the known limit of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     Nothing,
-    /// The target has named a limit.
+    /// The target has a limit now and had none before.
     Began,
-    /// It has named another one than before.
+    /// The limit has changed.
     Altered {
-        /// The one before, in requests a second.
+        /// The previous limit, in requests per second.
         before: f64,
     },
-    /// It names none any more.
+    /// The target has no limit any more.
     Ended,
 }
 
-/// How surely this instance is the only one that keeps accounts.
+/// Whether this instance is certain to be the only owner of the rate-limit states that it owns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Keeping {
-    /// All that could keep them in its place answer.
+    /// All candidates for ownership are reachable.
     Sure,
-    /// Some of them are silent, and may keep them for others.
+    /// Some candidates are unreachable, and may act as owners for other instances.
     Unsure {
-        /// Those that answer, this instance included.
+        /// Number of reachable candidates, including this instance.
         reached: usize,
-        /// All of them.
+        /// Number of all candidates.
         of: usize,
     },
 }
 
 impl Keeping {
-    fn part(self) -> f64 {
+    fn share(self) -> f64 {
         match self {
             Keeping::Sure => 1.0,
-            // The parts of all sides of a cut are no more than the whole.
+            // The shares of all sides of a partition add up to at most the whole limit.
             Keeping::Unsure { reached, of } => {
-                (reached.max(1) as f64 / of.max(1) as f64).min(UNSURE_PART)
+                (reached.max(1) as f64 / of.max(1) as f64).min(CONTESTED_SHARE)
             }
         }
     }
@@ -92,119 +91,119 @@
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Slot {
-    /// At any time: the target names no limit.
+    /// The target has no limit.
     Free,
-    /// Now, and that counts against the limit.
+    /// Admitted now, and counted against the limit.
     Taken,
-    /// Not for so many milliseconds.
+    /// Refused; to be retried after this many milliseconds.
     Refused(Millis),
 }
 
-/// What a target still takes, as far as an instance knows.
+/// What a target currently admits, as known to an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance<'a> {
     /// The target.
     pub target: &'a str,
-    /// Requests a second that it gets; any where it names no limit.
+    /// Requests per second sent to it; `None` if it has no limit.
     pub per_s: Option<f64>,
-    /// Until when nothing more is let through, in milliseconds.
+    /// Until when no request is admitted, in milliseconds.
     pub closed_until: Millis,
 }
 
-/// When an answer was made: after its request was sent, and before it came.
+/// The time span in which a target made an answer: after the request was sent and before the answer arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerSpan {
-    /// When its request was sent.
+    /// When the request was sent.
     pub sent: Millis,
-    /// When it came.
+    /// When the answer arrived.
     pub received: Millis,
 }
 
-/// What instances tell each other of a target's limit.
+/// An update on a target's limit, as sent between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitNews {
     /// The target.
     pub target: TargetId,
     /// Its service.
     pub service: Name,
-    /// Requests a second; absent where it names no limit any more.
+    /// Requests per second; `None` if the target has no limit any more.
     pub per_s: Option<f64>,
-    /// How long ago the request was sent whose answer told that, in milliseconds.
+    /// Time since the request was sent whose answer announced the limit, in milliseconds.
     pub sent_ms: Millis,
-    /// How long ago that answer came, in milliseconds.
+    /// Time since that answer arrived, in milliseconds.
     pub age_ms: Millis,
 }
 
 impl LimitNews {
-    /// When the answer was made, for an instance that is told at a time. News take a while, for which it seems
-    /// to be made later than it was.
+    /// Returns the time span of the answer by the receiver's clock, for an update received at `now`. The span
+    /// starts earlier by the maximum transit time, which is not part of the ages sent.
     pub fn made(&self, now: Millis) -> AnswerSpan {
-        let sent = now.saturating_sub(self.sent_ms + ON_THE_WAY_MS);
+        let sent = now.saturating_sub(self.sent_ms + MAX_TRANSIT_MS);
         AnswerSpan { sent, received: now.saturating_sub(self.age_ms) }
     }
 }
 
-/// The account of what was let through to a target.
+/// Rate-limit state of a target.
 #[derive(Clone, Copy, Debug, Default)]
-struct Account {
-    /// Since when this instance keeps it.
+struct RateState {
+    /// Since when this instance owns it; `None` if it does not.
     since: Option<Millis>,
-    /// When the last request was let through, or would have been had it come at once.
+    /// When the last request was admitted, or could have been at the earliest, in milliseconds.
     last: f64,
 }
 
-/// What is known of a target's limit.
+/// The known limit of a target.
 #[derive(Clone, Debug)]
 struct Limit {
     service: Name,
-    /// Requests a second; none once the target names no limit any more.
+    /// Requests per second; `None` once the target has no limit any more.
     per_s: Option<f64>,
-    /// When the answer was made that told that.
+    /// When the answer with this limit was made.
     made: AnswerSpan,
-    /// Whether this instance has had such an answer by itself.
+    /// Whether this instance has received such an answer itself.
     is_observed: bool,
-    account: Account,
-    /// Until when whoever keeps the account said that nothing more is let through.
+    rate: RateState,
+    /// Until when the owner has refused further requests.
     refused_until: Millis,
 }
 
 impl Limit {
-    /// Requests a second that are sent; any where there is no limit.
+    /// Requests per second that are sent; `None` if there is no limit.
     fn sent_per_s(&self) -> Option<f64> {
-        self.per_s.map(|it| it.max(LEAST_PER_S))
+        self.per_s.map(|it| it.max(MIN_PER_S))
     }
 
-    /// Time from one request to the next, in milliseconds; none where there is no limit.
-    fn gap_ms(&self, keeping: Keeping) -> Option<f64> {
-        Some(1000.0 / (self.sent_per_s()? * keeping.part()))
+    /// Time between requests in milliseconds; `None` if there is no limit.
+    fn interval_ms(&self, keeping: Keeping) -> Option<f64> {
+        Some(1000.0 / (self.sent_per_s()? * keeping.share()))
     }
 
-    /// When the next request may be sent, as the account says; before now where time was not used.
-    fn next(&self, now: Millis, gap: f64) -> f64 {
-        let since = self.account.since.unwrap_or(now);
-        // The one before may have let a request through just now.
-        let begin = since as f64 + gap.max(TAKE_OVER_MS as f64);
-        (self.account.last + gap).max(begin).max(now as f64 - BURST_MS)
+    /// When the next request is admitted, in milliseconds; in the past if time was left unused.
+    fn next(&self, now: Millis, interval: f64) -> f64 {
+        let since = self.rate.since.unwrap_or(now);
+        // The previous owner may have admitted a request just before the takeover.
+        let start = since as f64 + interval.max(TAKEOVER_WAIT_MS as f64);
+        (self.rate.last + interval).max(start).max(now as f64 - BURST_MS)
     }
 
-    /// Until when nothing more is let through, as far as that is known.
+    /// Until when no further request is admitted, as known to this instance.
     fn closed_until(&self, now: Millis, keeping: Keeping) -> Millis {
-        let Some(gap) = self.gap_ms(keeping) else { return 0 };
-        match self.account.since {
-            Some(_) => self.next(now, gap).ceil() as Millis,
+        let Some(interval) = self.interval_ms(keeping) else { return 0 };
+        match self.rate.since {
+            Some(_) => self.next(now, interval).ceil() as Millis,
             None => self.refused_until,
         }
     }
 }
 
-/// Limits of targets, as an instance knows them.
+/// The limits of targets known to an instance.
 #[derive(Clone, Debug, Default)]
 pub struct TargetLimits {
     limits: HashMap<TargetId, Limit>,
 }
 
 impl TargetLimits {
-    /// Takes in what an answer says.
+    /// Applies the limit announced in an answer that this instance received.
     pub fn observe(
         &mut self,
         made: AnswerSpan,
@@ -224,9 +223,9 @@
         change
     }
 
-    /// Takes in a limit in requests a second, or that there is none, from an answer of the target. Answers
-    /// overtake each other: unless its request was sent after the last one had come, it is not known which
-    /// was made later, and the lower limit holds.
+    /// Applies a limit in requests per second, or the absence of one, from an answer made in the span `made`.
+    /// Answers may arrive out of order: if the spans of this answer and the last one overlap, the lower limit
+    /// applies, since it is unknown which is newer.
     pub fn learn(
         &mut self,
         made: AnswerSpan,
@@ -234,9 +233,8 @@
         per_s: Option<f64>,
     ) -> Change {
         let Some(limit) = self.limits.get_mut(id) else {
-            let (service, account) = (service.to_owned(), Account::default());
-            let limit =
-                Limit { service, per_s, made, is_observed: false, account, refused_until: 0 };
+            let (service, rate) = (service.to_owned(), RateState::default());
+            let limit = Limit { service, per_s, made, is_observed: false, rate, refused_until: 0 };
             self.limits.insert(id.to_owned(), limit);
             return if per_s.is_some() { Change::Began } else { Change::Nothing };
         };
@@ -259,46 +257,46 @@
         }
     }
 
-    /// Takes in whether this instance keeps the account of a target.
-    pub fn keep(&mut self, now: Millis, id: &str, is_keeper: bool) {
+    /// Sets whether this instance owns the rate-limit state of a target.
+    pub fn keep(&mut self, now: Millis, id: &str, is_owner: bool) {
         let Some(limit) = self.limits.get_mut(id) else { return };
-        match (limit.account.since, is_keeper) {
-            (None, true) => limit.account = Account { since: Some(now), last: f64::NEG_INFINITY },
+        match (limit.rate.since, is_owner) {
+            (None, true) => limit.rate = RateState { since: Some(now), last: f64::NEG_INFINITY },
             (Some(_), false) => {
-                limit.account.since = None;
+                limit.rate.since = None;
                 limit.refused_until = 0;
             }
             _ => (),
         }
     }
 
-    /// Lets a request through to a target whose account this instance keeps, if it may be sent now.
+    /// Admits a request to a target if the limit allows one now. The caller must be the owner of the state.
     pub fn take(&mut self, now: Millis, id: &str, keeping: Keeping) -> Slot {
         self.keep(now, id, true);
         let Some(limit) = self.limits.get_mut(id) else { return Slot::Free };
-        let Some(gap) = limit.gap_ms(keeping) else { return Slot::Free };
-        let next = limit.next(now, gap);
+        let Some(interval) = limit.interval_ms(keeping) else { return Slot::Free };
+        let next = limit.next(now, interval);
         let wait = (next - now as f64).ceil();
         if 0.0 < wait {
             return Slot::Refused(wait as Millis);
         }
-        limit.account.last = next;
+        limit.rate.last = next;
         Slot::Taken
     }
 
-    /// Whether an asker's word of a limit is out of date, as far as this instance can tell that keeps the accounts.
+    /// Whether a requester's limit is stale, as judged by this instance as the owner.
     pub fn is_stale(&self, news: &LimitNews) -> bool {
         !self.limits.contains_key(&news.target) && STALE_MS <= news.age_ms
     }
 
-    /// Takes in that whoever keeps the account of a target lets nothing through for so long.
+    /// Records that the owner of a target's state admits nothing for `ms` milliseconds.
     pub fn refused(&mut self, now: Millis, id: &str, ms: Millis) {
         if let Some(it) = self.limits.get_mut(id) {
             it.refused_until = now + ms;
         }
     }
 
-    /// What the targets of a service still take that name a limit or did so of late.
+    /// The allowances of a service's targets that have a limit or had one recently.
     pub fn allowances<'a>(
         &'a self,
         now: Millis,
@@ -313,54 +311,54 @@
         })
     }
 
-    /// Requests a second that the targets of a service which name a limit take together.
+    /// Total requests per second sent to a service's targets that have a limit.
     pub fn total_per_s(&self, service: &str) -> f64 {
         let its = self.limits.values().filter(|it| it.service == service);
         its.filter_map(Limit::sent_per_s).sum()
     }
 
-    /// Takes in that a target is gone or has started anew, which knows nothing of its former limit.
+    /// Drops the limit of a target that has left or restarted.
     pub fn remove(&mut self, id: &str) {
         self.limits.remove(id);
     }
 
-    /// Forgets what was heard long ago of limits that have ended, and of targets that are not known.
+    /// Removes old entries of ended limits and of unknown targets.
     pub fn forget(&mut self, now: Millis, is_known: impl Fn(&str) -> bool) {
-        let is_new = |it: &Limit| now < it.made.received + HEARD_KEPT_MS;
+        let is_new = |it: &Limit| now < it.made.received + RETENTION_MS;
         self.limits.retain(|id, it| is_new(it) || (it.per_s.is_some() && is_known(id)));
     }
 
-    /// Whether this instance keeps the account of a limit.
+    /// Whether this instance owns the rate-limit state of any target.
     pub fn keeps_any(&self) -> bool {
-        self.limits.values().any(|it| it.account.since.is_some())
+        self.limits.values().any(|it| it.rate.since.is_some())
     }
 
-    /// Whether nothing is known of any limit.
+    /// Whether no limit is known, neither current nor ended.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
 
-    /// Whether a target names a limit.
+    /// Whether a target has a limit.
     pub fn is_limited(&self, id: &str) -> bool {
         self.per_s(id).is_some()
     }
 
-    /// Whether this instance knows of a target's limit by an answer of its own.
+    /// Whether this instance has received an answer with the target's limit itself, not only updates of peers.
     pub fn is_observed(&self, id: &str) -> bool {
         self.limits.get(id).is_some_and(|it| it.is_observed)
     }
 
-    /// The limit of a target in requests a second, if it names one.
+    /// The limit of a target in requests per second, if it has one.
     pub fn per_s(&self, id: &str) -> Option<f64> {
         self.limits.get(id)?.per_s
     }
 
-    /// All targets that name a limit or did so of late.
+    /// Ids of all targets that have a limit or had one recently.
     pub fn ids(&self) -> impl Iterator<Item = &TargetId> {
         self.limits.keys()
     }
 
-    /// What others are told of a target's limit; none where nothing is known.
+    /// The update on a target's limit to send to other instances; `None` if no limit is known.
     pub fn news(&self, now: Millis, id: &str) -> Option<LimitNews> {
         let limit = self.limits.get(id)?;
         let ago = |at: Millis| now.saturating_sub(at);
