--- a/crates/holdpoint-core/src/burn.rs
+++ b/crates/holdpoint-core/src/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: how fast the error budget of an objective is spent, and by what.
+//! Burn rates of service-level objectives: how fast the error budget is spent, and by which causes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,12 +12,12 @@
 /// Windows of the report, in milliseconds: five minutes, one hour, six hours.
 pub const WINDOWS: [Millis; 3] = [300_000, 3_600_000, 21_600_000];
 
-/// What a request that missed its objective was lost to.
+/// Why a request missed its objective.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cause {
-    /// Stage, where one was to blame.
+    /// Stage that caused it; empty if none did.
     pub stage: Name,
-    /// Target, where one was to blame.
+    /// Target that caused it; empty if none did.
     pub target: String,
     /// Kind of refusal or failure.
     pub kind: String,
@@ -31,7 +31,7 @@
     causes: BTreeMap<Cause, u64>,
 }
 
-/// Requests of one pipeline or organisation over the longest window.
+/// Request counts of one pipeline or organisation over the longest window.
 #[derive(Clone, Debug, Default)]
 pub struct Burn {
     buckets: VecDeque<Bucket>,
@@ -44,30 +44,30 @@
     pub window_ms: Millis,
     /// Requests that ended in it.
     pub requests: u64,
-    /// Requests answered once, whole and in time.
+    /// Requests answered once, completely and in time.
     pub attained: u64,
-    /// Rate at which the error budget is spent: 1 spends it exactly by the end of the window.
+    /// Burn rate: at 1, the error budget is used up exactly at the end of the window.
     pub rate: f64,
-    /// Share of the window's error budget left; negative once overspent.
+    /// Fraction of the window's error budget left; negative once overspent.
     pub left: f64,
-    /// What spent it, the largest first.
+    /// Causes with their number of requests, the largest first.
     pub causes: Vec<(Cause, u64)>,
 }
 
 impl Burn {
-    /// Counts a request that attained its objective.
+    /// Counts a request that met its objective.
     pub fn good(&mut self, now: Millis) {
         self.bucket(now).good += 1;
     }
 
-    /// Counts a request that did not.
+    /// Counts a request that missed its objective.
     pub fn bad(&mut self, now: Millis, cause: Cause) {
         let bucket = self.bucket(now);
         bucket.bad += 1;
         *bucket.causes.entry(cause).or_default() += 1;
     }
 
-    /// Reports every window against an objective from 0 to 1.
+    /// Returns the report of every window of [`WINDOWS`] for an objective from 0 to 1.
     pub fn report(&self, now: Millis, objective: f64) -> Vec<Window> {
         WINDOWS.iter().map(|it| self.window(now, *it, objective)).collect()
     }
--- a/crates/holdpoint-core/src/confinement.rs
+++ b/crates/holdpoint-core/src/confinement.rs
@@ -1,8 +1,8 @@
 //! Confinement of requests to regions.
 //!
-//! A route and an organisation may each name the regions in which their requests are served. Both
-//! bind together. A failure domain whose region is not known is outside, so that a mistake in the
-//! settings keeps work back and never lets it out.
+//! A route and an organisation may each name the regions in which their requests are served; a request
+//! must satisfy both. A failure domain of unknown region is never allowed, so that a mistake in the
+//! settings refuses work rather than running it in a wrong region.
 //!
 //! ```
 //! use std::collections::BTreeMap;
@@ -20,24 +20,24 @@
 
 use crate::{ids::Name, topology::Topology};
 
-/// The regions that are allowed; all where none are named.
+/// The allowed regions; all regions if there is no restriction.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confinement {
     regions: Option<BTreeSet<Name>>,
 }
 
-/// What a confined request may use: its regions, and the failure domains known to be there.
+/// The regions allowed to a confined request, and the failure domains known to be there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Bounds {
     regions: BTreeSet<Name>,
     domains: BTreeSet<Name>,
 }
 
-/// Bounds of a request; none where it is not confined.
+/// Bounds of a request; `None` if it is not confined.
 pub type Within = Option<Arc<Bounds>>;
 
 impl Confinement {
-    /// Allows some regions and no others.
+    /// Allows only the given regions.
     pub fn to(regions: impl IntoIterator<Item = Name>) -> Confinement {
         Confinement { regions: Some(regions.into_iter().collect()) }
     }
@@ -47,7 +47,7 @@
         self.regions.is_none()
     }
 
-    /// The regions that both allow.
+    /// Allows only the regions that both allow.
     pub fn and(&self, other: &Confinement) -> Confinement {
         match (&self.regions, &other.regions) {
             (Some(own), Some(theirs)) => {
@@ -58,14 +58,14 @@
         }
     }
 
-    /// The bounds in a deployment; none where all regions are allowed.
+    /// Resolves the bounds in a deployment; `None` if all regions are allowed.
     pub fn bounds(&self, topology: &Topology) -> Within {
         let regions = self.regions.clone()?;
         let domains = regions.iter().flat_map(|it| topology.domains_of(it)).cloned().collect();
         Some(Arc::new(Bounds { regions, domains }))
     }
 
-    /// Regions named here that the deployment does not know.
+    /// Named regions without any failure domain in the deployment.
     pub fn unknown<'a>(&'a self, topology: &'a Topology) -> impl Iterator<Item = &'a Name> {
         let named = self.regions.iter().flatten();
         named.filter(|it| topology.domains_of(it).next().is_none())
@@ -73,7 +73,7 @@
 }
 
 impl Bounds {
-    /// Whether work may be done and kept in a failure domain.
+    /// Whether requests may be served and their data stored in a failure domain.
     pub fn allows(&self, domain: &str) -> bool {
         self.domains.contains(domain)
     }
@@ -83,7 +83,7 @@
         self.regions.iter().map(String::as_str).collect::<Vec<_>>().join(",")
     }
 
-    /// What these bounds were made of.
+    /// The confinement that these bounds were resolved from.
     pub fn confinement(&self) -> Confinement {
         Confinement { regions: Some(self.regions.clone()) }
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Whether a failure domain may be used by a request with these bounds, if it has any.
+/// Whether a request with these bounds may use a failure domain; without bounds it may use any.
 pub fn is_within(bounds: Option<&Bounds>, domain: &str) -> bool {
     bounds.is_none_or(|it| it.allows(domain))
 }
--- a/crates/holdpoint-core/src/evacuation.rs
+++ b/crates/holdpoint-core/src/evacuation.rs
@@ -1,13 +1,12 @@
 //! Failure domains that operators have evacuated: their targets get no new work until the domain is
 //! restored.
 //!
-//! Orders stand in a log. What is known is a function of a prefix of that log, so of two states the one
-//! of the longer prefix is the newer one, however it arrived; nothing older ever replaces it. A state
-//! passes from instance to instance as a whole: whoever was cut off while an order was withdrawn learns
-//! it from the first one that has read further.
+//! Orders are records of a log, and the state is a function of a prefix of it. The state of the longer
+//! prefix is the newer one and is never replaced by an older one. Instances exchange whole states, so one
+//! that missed a withdrawal learns of it from any peer that has read further.
 //!
-//! The store may come back from an older copy, in a later era of its log. It may lack an order then that its
-//! operator is about to write again, so a domain stays evacuated for a while although the copy does not say so.
+//! If the store is restored from an older copy, its log starts a later epoch and may lack orders that
+//! operators are about to write again. Evacuated domains therefore stay so for a while.
 
 use std::collections::BTreeMap;
 
@@ -18,15 +17,15 @@
     ids::{Millis, Name},
 };
 
-/// Position in the log of orders: the number of records before it.
+/// Offset in the log of orders: the number of records before it.
 pub type Horizon = u64;
 
-/// One order for a failure domain.
+/// An order to evacuate or restore a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// Position of its record in the log.
     pub offset: Horizon,
-    /// Failure domain, which need not be known.
+    /// Failure domain, which may be an unknown one.
     pub domain: Name,
     /// Whether the domain is to be evacuated; otherwise it is restored.
     pub is_evacuated: bool,
@@ -41,33 +40,34 @@
     pub is_evacuated: bool,
 }
 
-/// The failure domains that are evacuated, as a prefix of the log says.
+/// The evacuated failure domains, as the state after a prefix of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
     horizon: Horizon,
-    /// Era of the log; instances of earlier versions tell none.
-    #[serde(default)]
-    era: Option<Era>,
+    /// Epoch of the log; instances of earlier versions send none.
+    #[serde(default, rename = "era")]
+    epoch: Option<Era>,
     /// Offset of the order by domain.
     domains: BTreeMap<Name, Horizon>,
-    /// Domains that were evacuated in an era before, and until when they stay so.
+    /// Domains that were evacuated in a previous epoch, and until when they stay so.
     #[serde(skip)]
-    carried: BTreeMap<Name, Millis>,
-    /// Whether it was made of the state before, so that it says which of these are restored.
+    retained: BTreeMap<Name, Millis>,
+    /// Whether the state was derived from the previous one, so that `retained` is up to date.
     #[serde(skip)]
-    follows: bool,
+    is_incremental: bool,
 }
 
 impl Evacuations {
-    /// Makes the state of a whole read up to `horizon`: domains that it does not name are not evacuated.
+    /// Creates the state from a full read of the log up to a position. Domains without an order are not
+    /// evacuated.
     pub fn new(at: Position, orders: impl IntoIterator<Item = Order>) -> Evacuations {
         let evacuated = orders.into_iter().filter(|it| it.is_evacuated);
         let domains = evacuated.map(|it| (it.domain, it.offset)).collect();
-        Evacuations { horizon: at.offset, era: at.era, domains, ..Evacuations::default() }
+        Evacuations { horizon: at.offset, epoch: at.era, domains, ..Evacuations::default() }
     }
 
-    /// The state after the records up to `horizon`, of which `orders` are those for domains. Records
-    /// before this state's horizon count in it already.
+    /// Returns the state after all records before `horizon`, given the `orders` for domains among them.
+    /// Orders before this state's horizon are skipped.
     pub fn followed_by(&self, horizon: Horizon, orders: &[Order]) -> Evacuations {
         let mut next = self.clone();
         for order in orders.iter().filter(|it| self.horizon <= it.offset) {
@@ -75,38 +75,39 @@
                 next.domains.entry(order.domain.clone()).or_insert(order.offset);
             } else {
                 next.domains.remove(&order.domain);
-                next.carried.remove(&order.domain);
+                next.retained.remove(&order.domain);
             }
         }
-        next.follows = true;
+        next.is_incremental = true;
         next.horizon = self.horizon.max(horizon);
         next
     }
 
-    /// Takes over a state if it is newer; `None` where it is not, else the domains that have changed.
+    /// Adopts a state if it is newer and returns the domains that have changed; `None` if it is not newer.
     pub fn advance(&mut self, now: Millis, newer: Evacuations) -> Option<Vec<DomainChange>> {
         if !newer.position().is_after(self.position()) {
             return None;
         }
-        let is_back = newer.position().is_of_later_era(self.position());
+        let is_later_epoch = newer.position().is_of_later_era(self.position());
         let before = std::mem::replace(self, newer);
-        if is_back {
+        if is_later_epoch {
             let kept = before.domains().map(|it| (it.clone(), now + SETTLE_MS));
-            self.carried.extend(kept);
-        } else if !self.follows {
-            self.carried = before.carried.clone();
+            self.retained.extend(kept);
+        } else if !self.is_incremental {
+            self.retained = before.retained.clone();
         }
-        self.follows = false;
+        self.is_incremental = false;
         Some(self.changes_since(&before))
     }
 
-    /// Forgets the domains of an era before that nobody has evacuated again; they are restored.
+    /// Restores the domains retained from a previous epoch whose time is over, unless they have been
+    /// evacuated again. Returns the domains that have changed.
     pub fn settle(&mut self, now: Millis) -> Vec<DomainChange> {
-        if self.carried.values().all(|it| now < *it) {
+        if self.retained.values().all(|it| now < *it) {
             return Vec::new();
         }
         let before = self.clone();
-        self.carried.retain(|_, until| now < *until);
+        self.retained.retain(|_, until| now < *until);
         self.changes_since(&before)
     }
 
@@ -121,24 +122,24 @@
         changes.chain(restored.map(|it| change(it, false))).collect()
     }
 
-    /// How far the log is known.
+    /// Position up to which the log is known, with its epoch.
     pub fn position(&self) -> Position {
-        Position { era: self.era, offset: self.horizon }
+        Position { era: self.epoch, offset: self.horizon }
     }
 
-    /// How far the log is known.
+    /// Offset up to which the log is known.
     pub fn horizon(&self) -> Horizon {
         self.horizon
     }
 
     /// Whether a failure domain is evacuated.
     pub fn is_evacuated(&self, domain: &str) -> bool {
-        self.domains.contains_key(domain) || self.carried.contains_key(domain)
+        self.domains.contains_key(domain) || self.retained.contains_key(domain)
     }
 
     /// The failure domains that are evacuated.
     pub fn domains(&self) -> impl Iterator<Item = &Name> {
-        let carried = self.carried.keys().filter(|it| !self.domains.contains_key(*it));
-        self.domains.keys().chain(carried)
+        let retained = self.retained.keys().filter(|it| !self.domains.contains_key(*it));
+        self.domains.keys().chain(retained)
     }
 }
--- a/crates/holdpoint-core/src/experiments.rs
+++ b/crates/holdpoint-core/src/experiments.rs
@@ -1,8 +1,8 @@
 //! Policies and trials that operators declare for the ingress: which policy a request is routed by.
 //!
 //! A resource has the key `policies/NAME` or `trials/NAME`. A trial divides the requests of one
-//! route between its arms; the same request falls to the same arm wherever it is asked. An arm whose
-//! policy is not known routes by the built-in one, which counts as the arm's all the same.
+//! route between its arms; every instance assigns the same request to the same arm. An arm with an
+//! unknown policy routes by the built-in one, and its requests still count for the arm.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -15,17 +15,17 @@
 
 use crate::{ids::Name, trial::arm_of};
 
-/// Start of the keys of policies.
+/// Prefix of the keys of policies.
 const POLICIES: &str = "policies/";
-/// Start of the keys of trials.
+/// Prefix of the keys of trials.
 const TRIALS: &str = "trials/";
 
-/// Why a resource changes nothing.
+/// Why a resource is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BadResource {
-    /// Its key names no kind that the ingress knows.
+    /// The key has an unknown prefix.
     Kind,
-    /// Its value is no JSON, or has this fault.
+    /// The value is not valid JSON or does not match the schema; holds the reason.
     Value(String),
 }
 
@@ -40,18 +40,18 @@
 
 impl std::error::Error for BadResource {}
 
-/// The arm of a trial that a request falls to.
+/// The arm of a trial that a request is assigned to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChosenArm {
-    /// Trial.
+    /// Name of the trial.
     pub trial: Name,
-    /// Arm.
+    /// Name of the arm.
     pub arm: Name,
-    /// Its policy's name.
+    /// Name of the arm's policy.
     pub policy: Name,
 }
 
-/// All policies and trials in force.
+/// All active policies and trials.
 #[derive(Clone, Debug, Default)]
 pub struct Experiments {
     policies: BTreeMap<Name, Arc<Policy>>,
@@ -59,7 +59,11 @@
 }
 
 impl Experiments {
-    /// Takes in a resource, or that it was dropped.
+    /// Sets a resource, or removes it if `value` is `None`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the key or the value is invalid; nothing changes then.
     pub fn set(&mut self, key: &str, value: Option<&[u8]>) -> Result<(), BadResource> {
         if let Some(name) = key.strip_prefix(POLICIES) {
             put(&mut self.policies, name, read(Part::Policy, value)?.map(Arc::new));
@@ -71,12 +75,12 @@
         Ok(())
     }
 
-    /// A policy by its name.
+    /// Returns a policy by name.
     pub fn policy(&self, name: &str) -> Option<Arc<Policy>> {
         self.policies.get(name).cloned()
     }
 
-    /// The arm that a request on a route falls to, by the first trial of that route.
+    /// Returns the arm that a request on a route is assigned to by the first trial of that route.
     pub fn arm_for(&self, route: &str, request: &str) -> Option<ChosenArm> {
         let (name, trial) = self.trials.iter().find(|it| it.1.pipeline == route)?;
         let arm = arm_of(name, trial, request)?;
@@ -84,8 +88,8 @@
     }
 }
 
-fn put<T>(all: &mut BTreeMap<Name, T>, name: &str, found: Option<T>) {
-    match found {
+fn put<T>(all: &mut BTreeMap<Name, T>, name: &str, value: Option<T>) {
+    match value {
         Some(it) => drop(all.insert(name.to_owned(), it)),
         None => drop(all.remove(name)),
     }
--- a/crates/holdpoint-core/src/trial.rs
+++ b/crates/holdpoint-core/src/trial.rs
@@ -1,4 +1,4 @@
-//! Trials: requests divided between policies, and what each of them attained and cost.
+//! Trials: requests divided between policies, with the attainment and cost of each arm.
 
 use std::collections::BTreeMap;
 
@@ -8,42 +8,42 @@
 
 use crate::ids::Name;
 
-/// Quantile of the normal distribution for an interval of 95 in 100.
+/// Quantile of the normal distribution for a 95% confidence interval.
 const Z95: f64 = 1.959_964;
 
-/// What one arm has done.
+/// Statistics of one arm.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ArmStats {
     /// Requests that ended.
     pub requests: u64,
-    /// Requests answered once, whole and in time.
+    /// Requests answered once, completely and in time.
     pub attained: u64,
-    /// Engine milliseconds by stage.
+    /// Engine time by stage, in milliseconds.
     pub cost: BTreeMap<Name, u64>,
-    /// Engine milliseconds spent on answers that nobody used, by stage.
+    /// Engine time spent on requests that missed their objective, by stage, in milliseconds.
     pub wasted: BTreeMap<Name, u64>,
 }
 
-/// Attainment with its interval.
+/// Attainment with its 95% confidence interval, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Interval {
-    /// Lower bound of 95 in 100.
+    /// Lower bound.
     pub low: f64,
-    /// Share attained.
+    /// Fraction of requests that attained their objective.
     pub mid: f64,
-    /// Upper bound of 95 in 100.
+    /// Upper bound.
     pub high: f64,
 }
 
-/// What a trial says.
+/// Result of a trial.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// An arm has too few requests.
     NotEnoughData,
-    /// The arms' scores cannot be told apart.
+    /// The confidence intervals of the best arms' scores overlap.
     NoDifference,
-    /// This arm has the best score beyond the interval.
+    /// This arm's score is above the intervals of all others.
     Better(Name),
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Adds another instance's figures for the same arm.
+    /// Adds another instance's statistics of the same arm.
     pub fn merge(&mut self, other: &ArmStats) {
         self.requests += other.requests;
         self.attained += other.attained;
@@ -71,18 +71,18 @@
         }
     }
 
-    /// Engine milliseconds a request.
+    /// Mean engine time per request, in milliseconds.
     pub fn mean_cost(&self) -> f64 {
         self.cost.values().sum::<u64>() as f64 / self.requests.max(1) as f64
     }
 
-    /// Attainment with its interval.
+    /// Attainment with its 95% confidence interval.
     pub fn attainment(&self) -> Interval {
         wilson(self.attained, self.requests)
     }
 }
 
-/// Wilson's score interval for `hits` of `n` at 95 in 100.
+/// Wilson score interval for `hits` of `n` at 95% confidence.
 pub fn wilson(hits: u64, n: u64) -> Interval {
     if n == 0 {
         return Interval { low: 0.0, mid: 0.0, high: 1.0 };
@@ -94,30 +94,32 @@
     Interval { low: (centre - half).max(0.0), mid, high: (centre + half).min(1.0) }
 }
 
-/// Arm of a request: the same for the same request wherever and whenever it is asked.
+/// Assigns a request to an arm by hash: every instance assigns the same request to the same arm. `None` if
+/// the weights add up to zero.
 pub fn arm_of<'a>(name: &str, trial: &'a Trial, request: &str) -> Option<&'a Arm> {
     let total: u64 = trial.arms.iter().map(|it| u64::from(it.weight)).sum();
     if total == 0 {
         return None;
     }
-    let mut place = xxh3_64(format!("{name}\n{request}").as_bytes()) % total;
+    let mut position = xxh3_64(format!("{name}\n{request}").as_bytes()) % total;
     trial.arms.iter().find(|arm| {
         let weight = u64::from(arm.weight);
-        let here = place < weight;
-        place = place.saturating_sub(weight);
-        here
+        let is_chosen = position < weight;
+        position = position.saturating_sub(weight);
+        is_chosen
     })
 }
 
-/// Judges the arms of a trial by attainment and cost, each with the weight the trial gives it.
+/// Compares the arms of a trial by attainment and cost, weighted as the trial specifies.
 pub fn judge(trial: &Trial, arms: &BTreeMap<Name, ArmStats>) -> Verdict {
-    let short = |arm: &Arm| arms.get(&arm.name).is_none_or(|it| it.requests < trial.min_requests);
-    if trial.arms.len() < 2 || trial.arms.iter().any(short) {
+    let is_short =
+        |arm: &Arm| arms.get(&arm.name).is_none_or(|it| it.requests < trial.min_requests);
+    if trial.arms.len() < 2 || trial.arms.iter().any(is_short) {
         return Verdict::NotEnoughData;
     }
-    let dearest = arms.values().map(ArmStats::mean_cost).fold(f64::MIN_POSITIVE, f64::max);
+    let max_cost = arms.values().map(ArmStats::mean_cost).fold(f64::MIN_POSITIVE, f64::max);
     let weight = trial.attainment_weight;
-    let score = |share: f64, cost: f64| weight * share + (1.0 - weight) * (1.0 - cost / dearest);
+    let score = |share: f64, cost: f64| weight * share + (1.0 - weight) * (1.0 - cost / max_cost);
     let mut scored: Vec<(&Name, f64, f64)> = arms
         .iter()
         .map(|(name, it)| {
@@ -127,6 +129,6 @@
         .collect();
     scored.sort_by(|a, b| b.1.total_cmp(&a.1));
     let best = scored[0];
-    let apart = scored[1..].iter().all(|it| it.2 < best.1);
-    if apart { Verdict::Better(best.0.clone()) } else { Verdict::NoDifference }
+    let is_apart = scored[1..].iter().all(|it| it.2 < best.1);
+    if is_apart { Verdict::Better(best.0.clone()) } else { Verdict::NoDifference }
 }
