--- a/crates/holdpoint-core/src/quarantine.rs
+++ b/crates/holdpoint-core/src/quarantine.rs
@@ -212,7 +212,7 @@
         verdicts
     }
 
-    /// Applies a decision of another instance. Returns whether it changed anything.
+    /// Applies a decision of another instance. Returns whether it was not known before.
     pub fn told(&mut self, now: Millis, verdict: Verdict) -> bool {
         match verdict {
             Verdict::Hold(it, ms) => self.quarantine(now, it, ms),
--- a/crates/holdpoint-core/src/rollout/exposure.rs
+++ b/crates/holdpoint-core/src/rollout/exposure.rs
@@ -30,7 +30,7 @@
     }
 
     /// The number of permits granted while the version is judged.
-    pub fn judged(&self, reached: u64) -> f64 {
+    pub fn canary_limit(&self, reached: u64) -> f64 {
         JUDGED_SHARE * self.share * reached as f64 + INITIAL_SLACK_SHARE * self.slack
     }
 }
--- a/crates/holdpoint-core/src/rollout/gate.rs
+++ b/crates/holdpoint-core/src/rollout/gate.rs
@@ -30,7 +30,7 @@
     /// Total number of requests that this incarnation of the instance may send to the version before the
     /// roll-out ends.
     pub quota: u64,
-    /// Routes whose requests spend permits first, since the version is not yet proven good there.
+    /// Routes that need more answers; requests on other routes spend permits less often.
     pub wanted: Vec<Name>,
 }
 
@@ -86,9 +86,9 @@
 
     /// Applies an update from the driver that is valid until a time. Updates for other orders, and those
     /// that follow a final one, are ignored.
-    pub fn hear(&mut self, word: Word, until: Millis) {
-        if word.offset == self.order.offset && !self.update.phase.is_final() {
-            (self.update, self.valid_until) = (word, until);
+    pub fn hear(&mut self, update: Word, until: Millis) {
+        if update.offset == self.order.offset && !self.update.phase.is_final() {
+            (self.update, self.valid_until) = (update, until);
         }
     }
 
--- a/crates/holdpoint-core/src/rollout/order.rs
+++ b/crates/holdpoint-core/src/rollout/order.rs
@@ -187,7 +187,7 @@
 }
 
 impl ToldOrders {
-    /// Converts the state received from another instance; `now` starts the remaining time of its orders.
+    /// Converts the state received from another instance; the remaining time of its orders counts from `now`.
     pub fn taken(self, now: Millis) -> Orders {
         let with_deadline = |it: OrderSnapshot| {
             let order = Order {
--- a/crates/holdpoint-core/src/rollout/phase.rs
+++ b/crates/holdpoint-core/src/rollout/phase.rs
@@ -228,11 +228,12 @@
     }
 
     /// Records the report of an incarnation of an instance. Repeated and late reports count nothing twice.
-    pub fn tell(&mut self, now: Millis, instance: &str, life: u64, input: Input) {
+    pub fn tell(&mut self, now: Millis, instance: &str, incarnation: u64, input: Input) {
         let first_exposed = input.exposed;
-        let begun =
+        let first_report =
             || InstanceState { first_exposed, quota: first_exposed, ..InstanceState::default() };
-        let state = self.instances.entry((instance.to_owned(), life)).or_insert_with(begun);
+        let state =
+            self.instances.entry((instance.to_owned(), incarnation)).or_insert_with(first_report);
         let is_older = input.reached < state.input.reached;
         if is_older {
             return;
@@ -263,18 +264,20 @@
     /// Raises the quota of an incarnation of an instance if the phase allows, and returns it: the total
     /// number of requests that it may send to the version. New permits are granted in proportion to the
     /// instance's share of requests, and never revoked.
-    pub fn quota(&mut self, instance: &str, life: u64) -> u64 {
+    pub fn quota(&mut self, instance: &str, incarnation: u64) -> u64 {
         let (reached, exposed) = self.totals();
         let left = (self.grant_limit(reached) - exposed as f64).floor();
-        let Some(state) = self.instances.get_mut(&(instance.to_owned(), life)) else { return 0 };
+        let Some(state) = self.instances.get_mut(&(instance.to_owned(), incarnation)) else {
+            return 0;
+        };
         let before = state.quota.max(state.input.exposed);
         let unspent = before - state.input.exposed;
         // Until all traffic moves, an instance with enough permits for its next request gets no more.
         let is_served = self.phase != Phase::Full && state.input.wants <= unspent;
         if 1.0 <= left && !is_served {
-            let part = state.input.reached as f64 / reached.max(1) as f64;
+            let share = state.input.reached as f64 / reached.max(1) as f64;
             // Rounded up, since with many instances each share may be below one permit.
-            state.quota = before + (left * part).ceil().min(left) as u64;
+            state.quota = before + (left * share).ceil().min(left) as u64;
         }
         state.quota
     }
@@ -290,7 +293,7 @@
         let (reached_before, granted_before) = self.entry_totals;
         let since = reached.saturating_sub(reached_before) as f64;
         match self.phase {
-            Phase::Canary => self.bound.judged(reached),
+            Phase::Canary => self.bound.canary_limit(reached),
             Phase::Loaded => (LOADED_QUOTA_SHARE * limit)
                 .min(granted_before as f64 + self.canary_share * since + LOADED_START_PERMITS),
             Phase::Full => QUOTA_SHARE * limit,
--- a/crates/holdpoint-core/src/target_limits.rs
+++ b/crates/holdpoint-core/src/target_limits.rs
@@ -3,7 +3,7 @@
 //! One instance owns the rate-limit state of a target, and all others ask it before they send. A fixed share
 //! for each instance would leave most of a small limit unused when requests arrive unevenly. The state is the
 //! time of the last admitted request; the next one is admitted after the interval that the limit implies. A
-//! new owner doesn't know what the previous one admitted, so it waits first.
+//! new owner does not know what the previous one admitted, so it waits first.
 
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
 /// Minimum rate of requests to a target, per second. A target with a limit of zero still gets some, since only
 /// its answers show that the limit has ended.
 const MIN_PER_S: f64 = 0.1;
-/// Maximum unused time that later requests may use up, in milliseconds, since requests arrive in bursts.
+/// Maximum unused time that later requests may catch up on, in milliseconds, since requests arrive in bursts.
 const BURST_MS: f64 = 100.0;
 /// Minimum time for which a new owner admits nothing, in milliseconds. It covers the time for which
 /// instances may disagree on the owner.
@@ -285,8 +285,8 @@
     }
 
     /// Whether a requester's limit is stale, as judged by this instance as the owner.
-    pub fn is_stale(&self, news: &LimitNews) -> bool {
-        !self.limits.contains_key(&news.target) && STALE_MS <= news.age_ms
+    pub fn is_stale(&self, update: &LimitNews) -> bool {
+        !self.limits.contains_key(&update.target) && STALE_MS <= update.age_ms
     }
 
     /// Records that the owner of a target's state admits nothing for `ms` milliseconds.
--- a/crates/holdpoint-core/src/trial.rs
+++ b/crates/holdpoint-core/src/trial.rs
@@ -43,7 +43,7 @@
     NotEnoughData,
     /// The confidence intervals of the best arms' scores overlap.
     NoDifference,
-    /// This arm's score is above the intervals of all others.
+    /// The lower bound of this arm's score is above the upper bounds of all others.
     Better(Name),
 }
 
