--- a/crates/holdpoint-core/src/era.rs
+++ b/crates/holdpoint-core/src/era.rs
@@ -1,66 +1,66 @@
-//! Eras of the store's log: it may come back from a copy some seconds old. What was written since is gone,
-//! and the offsets of that are given out again.
+//! Epochs of the store's log.
 //!
-//! A position is therefore an era and an offset in it. Of two positions of one era the larger offset is the
-//! later one; of two eras the later era, whatever the offsets. Whoever does not tell an era, as an instance
-//! of an earlier version does, is taken to be in the same one.
+//! The store may be restored from a copy some seconds old; later writes are lost then, and their offsets are
+//! assigned again. Each restore starts a new epoch, and a position is an epoch and an offset in it. Positions
+//! are ordered by epoch first. A position without an epoch, as instances of earlier versions report it, is
+//! compared by its offset only.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::Millis;
 
-/// How long after the store's return what it lacks is kept: operators and targets write theirs again within
-/// about two seconds, and instances theirs within one. In milliseconds.
+/// How long entries that a restored store lacks are kept, in milliseconds: operators, targets and instances
+/// write theirs again within a few seconds.
 pub const SETTLE_MS: Millis = 5000;
-/// How far back the store may lose what it had taken, in milliseconds: the copies are some seconds old.
+/// Age up to which acknowledged writes may be lost by a restore of the store, in milliseconds.
 pub const LOST_TAIL_MS: Millis = 60_000;
 
-/// An era; each return from an older copy begins the next one.
+/// Number of an epoch; each restore from an older copy starts the next one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Era(pub u64);
 
-/// A position in the log: the number of records before it, in an era where that is known.
+/// A position in the log: an offset and its epoch, if known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// Era that it is of.
+    /// Epoch of the offset.
     pub era: Option<Era>,
-    /// Records before it.
+    /// Number of records before it.
     pub offset: u64,
 }
 
 impl Position {
-    /// Whether more is known at this position than at another one.
+    /// Whether this position is later than another one.
     pub fn is_after(self, other: Position) -> bool {
         match self.era.zip(other.era) {
-            Some((own, others)) if own != others => others < own,
+            Some((mine, theirs)) if mine != theirs => theirs < mine,
             _ => other.offset < self.offset,
         }
     }
 
-    /// Whether the log has come back from an older copy between another position and this one.
+    /// Whether the store was restored between another position and this one.
     pub fn is_of_later_era(self, other: Position) -> bool {
-        self.era.zip(other.era).is_some_and(|(own, others)| others < own)
+        self.era.zip(other.era).is_some_and(|(mine, theirs)| theirs < mine)
     }
 }
 
-/// What an answer's era says to one who has heard of another.
+/// Epoch of a response compared with the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// It is the era that is known, or the first one that is heard of.
+    /// Both are the same, or one of them is unknown.
     Same,
-    /// The store has come back: nothing that was read before says what it holds now.
+    /// The store was restored: earlier reads no longer describe its contents.
     Risen,
-    /// The answer is of an era that is over.
+    /// The response is from an earlier epoch.
     Over,
 }
 
-/// Compares the era of an answer with the one that is known.
-pub fn heard(known: Option<Era>, told: Option<Era>) -> Heard {
-    match known.zip(told) {
-        Some((known, told)) if known < told => Heard::Risen,
-        Some((known, told)) if told < known => Heard::Over,
+/// Compares the epoch of a response with the known one.
+pub fn heard(known: Option<Era>, reported: Option<Era>) -> Heard {
+    match known.zip(reported) {
+        Some((known, reported)) if known < reported => Heard::Risen,
+        Some((known, reported)) if reported < known => Heard::Over,
         _ => Heard::Same,
     }
 }
