--- a/crates/holdpoint-core/src/lifecycle.rs
+++ b/crates/holdpoint-core/src/lifecycle.rs
@@ -1,6 +1,6 @@
-//! Life of one instance, as a state machine.
+//! Lifecycle of one instance, as a state machine.
 //!
-//! starting → ready ⇄ isolated, then draining → stopped. Only a ready instance takes new work.
+//! starting → ready ⇄ isolated, then draining → stopped. Only a ready instance accepts new work.
 
 // The state machine macro generates public items without docs.
 #![allow(missing_docs)]
@@ -10,7 +10,7 @@
 
 use crate::ids::Millis;
 
-/// What happens to an instance.
+/// An event that may change the phase of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The head of the log was confirmed, by the log itself or by a confirmed peer.
@@ -23,30 +23,30 @@
         /// Now.
         now: Millis,
     },
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
-    /// All work in flight ended, or the drain limit passed.
+    /// All work in flight ended, or the drain deadline passed.
     Drained,
 }
 
-/// The machine's own data.
+/// Data of the state machine.
 #[derive(Debug)]
-pub struct Life {
+pub struct LifecycleData {
     confirm_ms: Millis,
     confirmed: Option<Millis>,
     last_tick: Millis,
 }
 
-/// The state machine of an instance's life.
+/// The state machine of an instance's lifecycle.
 pub struct Lifecycle {
-    machine: StateMachine<Life>,
+    machine: StateMachine<LifecycleData>,
 }
 
 impl Lifecycle {
-    /// Makes a starting instance, which may serve for `confirm_ms` after each confirmation.
+    /// Makes a starting instance, which may serve for `confirm_ms` milliseconds after each confirmation.
     pub fn new(confirm_ms: Millis) -> Lifecycle {
-        let life = Life { confirm_ms, confirmed: None, last_tick: 0 };
-        Lifecycle { machine: life.state_machine() }
+        let data = LifecycleData { confirm_ms, confirmed: None, last_tick: 0 };
+        Lifecycle { machine: data.state_machine() }
     }
 
     /// Handles an event.
@@ -54,7 +54,7 @@
         self.machine.handle(&event);
     }
 
-    /// Phase that the instance is in.
+    /// Current phase of the instance.
     pub fn phase(&self) -> Phase {
         match self.machine.state() {
             State::Starting {} => Phase::Starting,
@@ -65,29 +65,29 @@
         }
     }
 
-    /// When the head was last confirmed.
+    /// Time at which the head of the log was last confirmed, if ever.
     pub fn confirmed(&self) -> Option<Millis> {
         self.machine.inner().confirmed
     }
 }
 
-impl Life {
+impl LifecycleData {
     fn confirm(&mut self, now: Millis) {
         self.confirmed = Some(now);
         self.last_tick = self.last_tick.max(now);
     }
 
-    /// Whether the bound passed without confirmation. A clock that jumps by more than the bound
-    /// says that this process was paused, which counts as the same.
+    /// Whether `confirm_ms` passed without confirmation. If the clock jumps by more than that, the process was
+    /// paused, which counts as the same.
     fn is_stale(&mut self, now: Millis) -> bool {
-        let jumped = self.last_tick != 0 && self.last_tick + self.confirm_ms < now;
+        let has_jumped = self.last_tick != 0 && self.last_tick + self.confirm_ms < now;
         self.last_tick = now;
-        jumped || self.confirmed.is_none_or(|it| it + self.confirm_ms < now)
+        has_jumped || self.confirmed.is_none_or(|it| it + self.confirm_ms < now)
     }
 }
 
 #[state_machine(initial = "State::starting()", state(derive(Debug, PartialEq, Eq)))]
-impl Life {
+impl LifecycleData {
     #[state]
     fn starting(&mut self, event: &Event) -> Outcome<State> {
         match event {
--- a/crates/holdpoint-core/src/liveness.rs
+++ b/crates/holdpoint-core/src/liveness.rs
@@ -1,53 +1,52 @@
-//! When an instance asks a peer whether it is there.
+//! When an instance sends liveness probes to a peer.
 //!
-//! A peer that works for this instance is asked several times a second, so that its silence is noticed within
-//! the time that a request can spare. In a large fleet each instance has few requests, and hundreds of them
-//! use the same few owners of services: asked all the time, an owner answered 985 instances four times a
-//! second each, whatever there was to do. So a peer is asked only while something is expected of it. Who
-//! comes back to one that has rested asks it in the moment of the next call.
+//! A peer that serves calls of this instance is probed several times a second, so that its failure is noticed
+//! within a request's deadline. In a large fleet hundreds of instances use the same few service owners, and
+//! constant probes would load these. So a peer is probed only while it is in use; after an idle period, probes
+//! resume with the next call.
 
 use crate::ids::Millis;
 
-/// How long after its last use a peer is still asked, in milliseconds: a request comes back to the same owners
-/// with its next stage or its release within about that time.
-const LINGER_MS: Millis = 1000;
-/// How long a connection to a peer that nothing is expected of is kept, in milliseconds.
-const KEEP_MS: Millis = 30_000;
+/// How long a peer is probed after its last use, in milliseconds: within about that time a request calls the
+/// same owners again for its next stage or its release.
+const PROBE_LINGER_MS: Millis = 1000;
+/// How long an idle connection to a peer is kept, in milliseconds.
+const CONNECTION_KEEP_MS: Millis = 30_000;
 
-/// What is expected of a peer.
+/// How this instance uses a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Use {
-    /// Calls to it under way.
+    /// Calls in flight to it.
     pub calls: usize,
-    /// When it was last used.
+    /// Time of its last use, in milliseconds.
     pub used: Millis,
-    /// Whether it is relied on without calls, as between the owners of services, which tell each other their
-    /// load.
+    /// Whether it is needed even without calls, as between service owners, which report their load to each
+    /// other.
     pub is_standing: bool,
 }
 
-/// What to do about a peer.
+/// What to do with the connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duty {
-    /// Ask whether it is there.
+    /// Probe it.
     Ask,
-    /// Wait.
+    /// Keep it without probes.
     Rest,
-    /// Close the connection.
+    /// Close it.
     Close,
 }
 
-/// What is due about a peer with a connection.
-pub fn duty(now: Millis, its: Use) -> Duty {
-    let rested = now.saturating_sub(its.used);
+/// Decides what to do with the connection to a peer.
+pub fn duty(now: Millis, peer: Use) -> Duty {
+    let idle_ms = now.saturating_sub(peer.used);
     match () {
-        () if its.is_standing || its.calls != 0 || rested <= LINGER_MS => Duty::Ask,
-        () if rested < KEEP_MS => Duty::Rest,
+        () if peer.is_standing || peer.calls != 0 || idle_ms <= PROBE_LINGER_MS => Duty::Ask,
+        () if idle_ms < CONNECTION_KEEP_MS => Duty::Rest,
         () => Duty::Close,
     }
 }
 
-/// Whether a peer that is used now was used so long ago that it was not asked any more.
+/// Whether a peer that was last used at `used` has been idle for so long that its probes stopped.
 pub fn has_rested(now: Millis, used: Millis) -> bool {
-    LINGER_MS < now.saturating_sub(used)
+    PROBE_LINGER_MS < now.saturating_sub(used)
 }
--- a/crates/holdpoint-core/src/membership.rs
+++ b/crates/holdpoint-core/src/membership.rs
@@ -1,12 +1,10 @@
-//! Membership of the system's own instances, and what they tell each other.
+//! Membership of the system's own instances, exchanged by gossip.
 //!
 //! Each instance exchanges digests with neighbours at distances 1, 2, 4, … on the ring of names,
 //! so the number of neighbours grows with the logarithm of the number of instances. A digest
-//! carries only what changed since the last one to that neighbour and what it did not tell itself:
-//! whole entries, or short acknowledgements where only the offset changed. An instance raises
-//! the sequence of its own entry; others may only declare it stopped, which it refutes by raising
-//! the sequence again. (Full exchange between 350 instances would cost each of them several
-//! times its share of bandwidth; see docs/CAPACITY.md.)
+//! carries only entries that changed since the last one and that the neighbour did not send itself:
+//! full entries, or short acknowledgements if only the offset changed. Only an instance itself updates
+//! its entry; others may only declare it stopped, which it refutes by a higher sequence.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,68 +13,67 @@
 
 use crate::ids::{Incarnation, Millis, Name, Offset};
 
-/// How long a stopped member and a leaving target are remembered, in milliseconds.
-const MEMORY_MS: Millis = 600_000;
-/// Neighbours asked while the log is silent, when a majority must be counted.
-pub const WIDE: usize = 32;
+/// How long a stopped member and a drain notice are kept, in milliseconds.
+const RETENTION_MS: Millis = 600_000;
+/// Number of neighbours to contact while the log does not answer and a majority must be counted.
+pub const WIDE_NEIGHBOURS: usize = 32;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct MemberState {
     member: Member,
     /// Hash of the incarnation, by which acknowledgements name it.
     hash: u64,
-    heard: Millis,
+    last_seen: Millis,
     /// Version of the view at the last change of the entry.
     version: u64,
-    /// Version of the view at the last change of more than its offset.
-    whole_version: u64,
-    /// Peers that told the entry as it is now; it is not told back to them.
-    told_by: Vec<Incarnation>,
+    /// Version of the view at the last change other than of the offset.
+    full_version: u64,
+    /// Peers that sent the current entry; it is not sent back to them.
+    senders: Vec<Incarnation>,
 }
 
-impl Known {
-    fn new(member: Member, heard: Millis, version: u64) -> Known {
-        let hash = incarnation_hash(&member.incarnation);
-        Known { member, hash, heard, version, whole_version: version, told_by: Vec::new() }
+impl MemberState {
+    fn new(member: Member, last_seen: Millis, version: u64) -> MemberState {
+        let hash = hash_incarnation(&member.incarnation);
+        MemberState { member, hash, last_seen, version, full_version: version, senders: Vec::new() }
     }
 
-    fn note_teller(&mut self, peer: &str) {
-        if !self.told_by.iter().any(|it| it == peer) {
-            self.told_by.push(peer.to_owned());
+    fn add_sender(&mut self, peer: &str) {
+        if !self.senders.iter().any(|it| it == peer) {
+            self.senders.push(peer.to_owned());
         }
     }
 
-    /// Notes a change of more than the offset, made here.
-    fn changed(&mut self, version: u64) {
+    /// Records a local change of the full entry, so that it is sent to all peers.
+    fn mark_changed(&mut self, version: u64) {
         self.version = version;
-        self.whole_version = version;
-        self.told_by.clear();
+        self.full_version = version;
+        self.senders.clear();
     }
 }
 
 #[derive(Clone, Debug)]
-struct Leaving {
+struct DrainNotice {
     incarnation: Incarnation,
     since: Millis,
     version: u64,
 }
 
-/// Members and leaving targets as one instance knows them.
+/// Members and draining targets known to one instance.
 #[derive(Clone, Debug)]
 pub struct View {
     me: Incarnation,
-    members: BTreeMap<Incarnation, Known>,
-    leaving: BTreeMap<String, Leaving>,
-    /// Instances that the platform lists as live: name and peer address.
+    members: BTreeMap<Incarnation, MemberState>,
+    draining: BTreeMap<String, DrainNotice>,
+    /// Instances that the platform lists as live, by name, with their peer addresses.
     listed: BTreeMap<Name, String>,
     version: u64,
-    /// How far each peer's view and this one have been exchanged.
-    peers: BTreeMap<Incarnation, Exchanged>,
+    peers: BTreeMap<Incarnation, ExchangeState>,
 }
 
-/// How far two views have been exchanged.
+/// Versions up to which two views have been exchanged.
 #[derive(Clone, Copy, Debug, Default)]
-struct Exchanged {
+struct ExchangeState {
     /// Version of the peer's view that has been merged here.
     theirs: u64,
     /// Version of this view that the peer says it has merged.
@@ -84,17 +81,17 @@
 }
 
 impl View {
-    /// Makes a view in which only the instance itself is known.
+    /// Makes a view that contains only the instance itself.
     pub fn new(me: Member, now: Millis) -> View {
         let mut view = View {
             me: me.incarnation.clone(),
             members: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            draining: BTreeMap::new(),
             listed: BTreeMap::new(),
             version: 1,
             peers: BTreeMap::new(),
         };
-        let known = Known::new(me, now, 1);
+        let known = MemberState::new(me, now, 1);
         view.members.insert(known.member.incarnation.clone(), known);
         view
     }
@@ -104,12 +101,12 @@
         &self.members[&self.me].member
     }
 
-    /// Counts up with each change.
+    /// Version of the view; increases with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All members known, stopped ones included.
+    /// All known members, including stopped ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|it| &it.member)
     }
@@ -132,23 +129,23 @@
     /// Sets the instance's own phase and offset; the next digests carry them.
     pub fn set_me(&mut self, phase: Phase, applied: Offset, now: Millis) {
         let me = self.members.get_mut(&self.me).expect("the view holds its own instance");
-        me.heard = now;
+        me.last_seen = now;
         if me.member.phase == phase && me.member.applied == applied {
             return;
         }
         self.version += 1;
         me.member.seq += 1;
         if me.member.phase != phase {
-            me.whole_version = self.version;
+            me.full_version = self.version;
         }
         me.member.phase = phase;
         me.member.applied = applied;
         me.version = self.version;
-        me.told_by.clear();
+        me.senders.clear();
     }
 
-    /// Takes in the platform's list of live instances. A member that it no longer names may be
-    /// declared stopped after silence; a name that it holds is needed for every change.
+    /// Sets the platform's list of live instances. A silent member may be declared stopped only if it is
+    /// not listed; every change must be applied by all listed names.
     pub fn set_listed(&mut self, listed: BTreeMap<Name, String>) {
         if self.listed != listed {
             self.version += 1;
@@ -156,8 +153,8 @@
         self.listed = listed;
     }
 
-    /// Makes a digest for a peer. It carries what changed since the version that the peer last
-    /// said it had merged, so a lost digest is made up for by the next one.
+    /// Makes a digest for a peer. It carries the changes since the version that the peer last
+    /// acknowledged, so the next digest makes up for a lost one.
     pub fn digest_for(
         &self,
         peer: Option<&str>,
@@ -173,14 +170,14 @@
             seen: known.theirs,
             members: Vec::new(),
             acks: Vec::new(),
-            leaving: self.leaving_since(known.mine),
+            leaving: self.drain_notices_since(known.mine),
         };
-        let is_news = |it: &&Known| {
+        let is_unsent = |it: &&MemberState| {
             known.mine < it.version
-                && !peer.is_some_and(|peer| it.told_by.iter().any(|by| by == peer))
+                && !peer.is_some_and(|peer| it.senders.iter().any(|by| by == peer))
         };
-        for it in self.members.values().filter(is_news) {
-            if known.mine < it.whole_version {
+        for it in self.members.values().filter(is_unsent) {
+            if known.mine < it.full_version {
                 digest.members.push(it.member.clone());
             } else {
                 digest.acks.push(Ack { i: it.hash, s: it.member.seq, a: it.member.applied });
@@ -194,14 +191,14 @@
         self.live().find(|it| it.peers == peers).map(|it| &it.incarnation)
     }
 
-    /// Takes in a digest; returns whether anything in it was new.
+    /// Merges a digest; returns whether it changed the view.
     pub fn merge(&mut self, digest: &Digest, now: Millis) -> bool {
         let before = self.version;
         let exchanged = self.peers.entry(digest.from.clone()).or_default();
         exchanged.theirs = exchanged.theirs.max(digest.version);
         exchanged.mine = exchanged.mine.max(digest.seen);
         if let Some(it) = self.members.get_mut(&digest.from) {
-            it.heard = now;
+            it.last_seen = now;
         }
         digest.members.iter().for_each(|it| self.merge_member(it, &digest.from, now));
         self.merge_acks(&digest.acks, &digest.from, now);
@@ -209,8 +206,8 @@
         before != self.version
     }
 
-    fn leaving_since(&self, since: u64) -> Vec<LeavingTarget> {
-        let newer = self.leaving.iter().filter(|it| since < it.1.version);
+    fn drain_notices_since(&self, since: u64) -> Vec<LeavingTarget> {
+        let newer = self.draining.iter().filter(|it| since < it.1.version);
         newer
             .map(|it| LeavingTarget {
                 address: it.0.clone(),
@@ -219,34 +216,34 @@
             .collect()
     }
 
-    /// Notes that a target is leaving. The sign sticks to its incarnation.
+    /// Records a drain notice, which stays valid for the target's incarnation.
     pub fn set_leaving(&mut self, address: &str, incarnation: &str, now: Millis) {
         if self.is_leaving(address, incarnation) {
             return;
         }
         self.version += 1;
         let incarnation = incarnation.to_owned();
-        let leaving = Leaving { incarnation, since: now, version: self.version };
-        self.leaving.insert(address.to_owned(), leaving);
+        let notice = DrainNotice { incarnation, since: now, version: self.version };
+        self.draining.insert(address.to_owned(), notice);
     }
 
-    /// Whether this incarnation of a target is leaving.
+    /// Whether this incarnation of a target is draining.
     pub fn is_leaving(&self, address: &str, incarnation: &str) -> bool {
-        self.leaving.get(address).is_some_and(|it| it.incarnation == incarnation)
+        self.draining.get(address).is_some_and(|it| it.incarnation == incarnation)
     }
 
-    /// Incarnation of the target at an address that was last said to be leaving.
+    /// Incarnation of the latest drain notice for an address.
     pub fn leaving_at(&self, address: &str) -> Option<&str> {
-        self.leaving.get(address).map(|it| it.incarnation.as_str())
+        self.draining.get(address).map(|it| it.incarnation.as_str())
     }
 
-    /// Leaving targets: address and incarnation.
+    /// Draining targets: address and incarnation.
     pub fn leaving(&self) -> impl Iterator<Item = (&str, &str)> {
-        self.leaving.iter().map(|it| (it.0.as_str(), it.1.incarnation.as_str()))
+        self.draining.iter().map(|it| (it.0.as_str(), it.1.incarnation.as_str()))
     }
 
     /// Peer addresses of the neighbours: those at distances 1, 2, 4, … on the ring of names, and
-    /// with `wide` the next [`WIDE`] as well, which for smaller systems is everyone.
+    /// with `wide` also the next [`WIDE_NEIGHBOURS`], which covers all members of a small system.
     pub fn neighbours(&self, wide: bool) -> Vec<String> {
         let mut ring: BTreeMap<&str, &str> = BTreeMap::new();
         ring.extend(self.listed.iter().map(|it| (it.0.as_str(), it.1.as_str())));
@@ -261,40 +258,41 @@
             chosen.insert(ring[name].to_owned());
             distance *= 2;
         }
-        let near = if wide { WIDE.min(names.len() - 1) } else { 0 };
+        let near = if wide { WIDE_NEIGHBOURS.min(names.len() - 1) } else { 0 };
         for distance in 1..=near {
             chosen.insert(ring[names[(place + distance) % names.len()]].to_owned());
         }
         chosen.into_iter().collect()
     }
 
-    /// Declares members stopped that have been silent for `dead_ms`, that the platform's list
-    /// does not name, and that are among `watched` (peer addresses this instance talks to).
+    /// Declares members stopped that have been silent for `dead_ms` milliseconds, that the platform
+    /// does not list, and whose peer address is among `watched` (those this instance talks to). Evicts
+    /// expired entries.
     pub fn bury(&mut self, now: Millis, dead_ms: Millis, watched: &[String]) {
         let me = self.me.clone();
         let mut version = self.version;
         for (incarnation, known) in &mut self.members {
-            let is_silent = known.heard + dead_ms < now && *incarnation != me;
+            let is_silent = known.last_seen + dead_ms < now && *incarnation != me;
             let is_open = known.member.phase != Phase::Stopped;
             let is_listed = self.listed.get(&known.member.name) == Some(&known.member.peers);
             if is_open && is_silent && !is_listed && watched.contains(&known.member.peers) {
                 known.member.phase = Phase::Stopped;
                 known.member.seq += 1;
                 version += 1;
-                known.changed(version);
+                known.mark_changed(version);
             }
         }
         self.version = version;
-        let is_old = |it: &Known| it.heard + MEMORY_MS < now;
-        let stopped = |it: &Known| it.member.phase == Phase::Stopped;
+        let is_old = |it: &MemberState| it.last_seen + RETENTION_MS < now;
+        let stopped = |it: &MemberState| it.member.phase == Phase::Stopped;
         self.members.retain(|incarnation, it| *incarnation == me || !(is_old(it) && stopped(it)));
-        self.leaving.retain(|_, it| now < it.since + MEMORY_MS);
+        self.draining.retain(|_, it| now < it.since + RETENTION_MS);
         let members = &self.members;
         self.peers.retain(|it, _| members.contains_key(it));
     }
 
-    /// Names of live instances that have not put `offset` in force. A listed name with no live
-    /// member counts as missing: nothing proves what it serves.
+    /// Names of live instances that have not applied `offset`, except draining ones. A listed name with no
+    /// live member counts as missing, since its state is unknown.
     pub fn missing(&self, offset: Offset) -> Vec<Name> {
         let mut missing: BTreeSet<Name> = self
             .live()
@@ -314,7 +312,7 @@
         }
         if let Some(it) = self.members.get_mut(&theirs.incarnation) {
             if theirs.seq == it.member.seq {
-                it.note_teller(from);
+                it.add_sender(from);
             }
             if theirs.seq <= it.member.seq {
                 return;
@@ -322,8 +320,8 @@
         }
         self.version += 1;
         self.stop_older(theirs);
-        let mut known = Known::new(theirs.clone(), now, self.version);
-        known.told_by.push(from.to_owned());
+        let mut known = MemberState::new(theirs.clone(), now, self.version);
+        known.senders.push(from.to_owned());
         self.members.insert(theirs.incarnation.clone(), known);
     }
 
@@ -342,15 +340,14 @@
                 known.member.seq = ack.s;
                 known.member.applied = ack.a;
                 known.version = self.version;
-                known.heard = now;
-                known.told_by.clear();
+                known.last_seen = now;
+                known.senders.clear();
             }
-            known.note_teller(from);
+            known.add_sender(from);
         }
     }
 
-    /// A restart under the same name ends the older incarnation. Incarnations sort by their
-    /// start time.
+    /// Declares older incarnations of the same name stopped. Incarnations sort by their start time.
     fn stop_older(&mut self, newer: &Member) {
         let version = self.version;
         for (incarnation, known) in &mut self.members {
@@ -358,7 +355,7 @@
             if is_older && *incarnation != self.me && known.member.phase != Phase::Stopped {
                 known.member.phase = Phase::Stopped;
                 known.member.seq += 1;
-                known.changed(version);
+                known.mark_changed(version);
             }
         }
     }
@@ -370,10 +367,10 @@
         }
         me.member.seq = theirs.seq + 1;
         self.version += 1;
-        me.changed(self.version);
+        me.mark_changed(self.version);
     }
 }
 
-fn incarnation_hash(incarnation: &str) -> u64 {
+fn hash_incarnation(incarnation: &str) -> u64 {
     xxh3_64(incarnation.as_bytes())
 }
