--- a/crates/holdpoint-core/src/readers.rs
+++ b/crates/holdpoint-core/src/readers.rs
@@ -1,18 +1,12 @@
-//! Which instances read the platform's store for all, and which pass on what they have read.
+//! Selection of the instances that read the platform's store, and of the relays that distribute it.
 //!
-//! Every call to the store costs, and its rate is bounded for all instances together. So a few
-//! instances read it and the others follow them. One reader's link does not carry the news to
-//! hundreds, so relays stand between: they follow a reader, and the others follow any of the sources,
-//! which are the readers and the relays. All who know the same members choose the same ones, without
-//! a message; where their views differ, more instances read for a while.
+//! The rate of store reads is limited for all instances together, so a few readers read it, relays follow
+//! the readers, and all others follow a source, which is a reader or a relay. Instances with the same
+//! membership view select the same sources without coordination; differing views only add readers. Large
+//! failure domains have relays of their own, so an update crosses their boundary once per relay.
 //!
-//! In a fleet whose failure domains have hundreds of instances each, relays stand in every such domain, and the
-//! others there follow these: a piece of news crosses the boundary of a domain once a relay, not once an
-//! instance.
-//!
-//! Regions are joined by thin links, so state crosses such a link once a region: a region far from the
-//! store has no readers but a head, which follows a reader, and a standby, which follows the head and
-//! asks a reader only where the head does not answer. All others stay within their region.
+//! Links between regions are narrow, so an update crosses them once per region: a region far from the store
+//! has a gateway, which follows a reader, and a standby, which asks a reader if the gateway does not answer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,72 +16,71 @@
     subset::{subset, weight},
 };
 
-/// Readers: two may be lost at once and one is left.
-const READERS: usize = 3;
-/// Instances of a far region that may ask across the link: the head and its standby.
-const HEADS: usize = 2;
-/// Instances to each source, as far as there are enough of them.
-const FOLLOWERS: usize = 24;
-/// Instances of a failure domain from which on it has sources of its own: with fewer, one of two would be
-/// left to all of them when the other is lost.
-const LARGE_DOMAIN: usize = 2 * FOLLOWERS;
-/// Key under which all of them are chosen.
-const KEY: &str = "reader";
-/// Time in which a source may send a configuration to all who follow it, in milliseconds: a tenth of the 5 s
-/// and a quarter of the 2 s that a change has to be in force within.
-const CONFIGURATION_MS: u64 = 500;
-/// A region whose shortest round trip to the store is longer than the shortest of all by more than this
-/// stands far from it, in milliseconds: two failure domains of a region are a few milliseconds apart, two
-/// regions some tens.
-const FAR_MS: Millis = 15;
-/// Longest time after which a follower reads the store by itself when nobody whom it asks has read it, in
-/// milliseconds: well within the bounds on a change of the configuration, which are 3 s and more.
-const LONGEST_PATIENCE_MS: Millis = 1500;
-/// Part of that time for each instance of the region, in milliseconds: a strong reader takes in 3,000
-/// targets in some 100 ms, and a followers' turn to ask comes once in 250 ms.
-const PATIENCE_MS: Millis = 5;
-
-/// An instance, as far as it counts for who reads the store and who follows whom.
+/// Number of readers; two may fail at once.
+const READER_COUNT: usize = 3;
+/// Number of instances of a far region that may ask across the link: the gateway and its standby.
+const GATEWAY_COUNT: usize = 2;
+/// Number of instances for each source.
+const FOLLOWERS_PER_SOURCE: usize = 24;
+/// Least number of instances for a failure domain to have sources of its own: enough for two sources, so that
+/// one is left if the other fails.
+const LARGE_DOMAIN_INSTANCES: usize = 2 * FOLLOWERS_PER_SOURCE;
+/// Key of the rendezvous hashing that selects readers, relays and gateways.
+const SELECTION_KEY: &str = "reader";
+/// Longest time that a source may take to send a configuration to all its followers, in milliseconds: a
+/// fraction of the time limit for applying a change.
+const CONFIGURATION_SEND_MS: u64 = 500;
+/// Round trip to the store, beyond that of the nearest region, above which a region is far, in milliseconds:
+/// failure domains of one region are a few milliseconds apart, regions some tens.
+const FAR_REGION_MS: Millis = 15;
+/// Longest time that a follower waits before it reads the store itself because none of its sources has, in
+/// milliseconds: well below the time limit for applying a configuration change.
+const MAX_READ_DELAY_MS: Millis = 1500;
+/// Part of that time for each instance of the region, in milliseconds.
+const READ_DELAY_PER_INSTANCE_MS: Millis = 5;
+
+/// Properties of an instance that determine its role.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Member<'a> {
     /// Name.
     pub name: &'a str,
-    /// Region that it stands in; empty where that is not known.
+    /// Region that it is in; empty if unknown.
     pub region: &'a str,
-    /// Failure domain that it stands in; empty where that is not known.
+    /// Failure domain that it is in; empty if unknown.
     pub domain: &'a str,
-    /// What it may use of its machine.
+    /// Machine capacity available to it.
     pub capacity: Capacity,
-    /// Round trip to the store in milliseconds, as it has measured it.
+    /// Its measured round trip to the store, in milliseconds.
     pub store_ms: Option<Millis>,
 }
 
-/// What an instance does for the others.
+/// Role of an instance in the distribution of the store's contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Reads the store.
     Reader,
-    /// Passes on to others what it is told.
+    /// Passes updates of readers on to followers.
     Relay,
-    /// Asks for itself only.
+    /// Receives updates and passes none on.
     Follower,
 }
 
-/// Whom an instance follows.
+/// Role of an instance and the instances that it follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan<'a> {
-    /// What it does for the others.
+    /// Its role.
     pub role: Role,
-    /// Those that it follows, in the order in which it asks them.
+    /// Instances that it follows, in the order in which it asks them.
     pub asked: Vec<&'a str>,
-    /// Those that read the store, in the order in which it asks them.
+    /// Instances that read the store, in the order in which it asks them.
     pub readers: Vec<&'a str>,
-    /// How long it waits, where nobody whom it asks has read the store, before it reads by itself.
+    /// How long it waits, in milliseconds, before it reads the store itself because none of the instances that
+    /// it follows has read it.
     pub patience_ms: Millis,
 }
 
-/// Members that may do for others what one does for all, or pass on what is read: all that one who starts has
-/// to know of the others. In a fleet of 985 instances, 60 of them strong, these are 60.
+/// Members that may be selected as readers, relays or owners of shared work: the only ones that a starting
+/// instance has to know.
 pub fn leaders<'a>(members: &[Member<'a>]) -> Vec<&'a str> {
     let regions: BTreeSet<&str> = members.iter().map(|it| it.region).collect();
     let of_region = |region: &str| -> Vec<Member<'a>> {
@@ -99,8 +92,8 @@
 /// Number of instances by failure domain.
 pub type DomainSizes = BTreeMap<Name, usize>;
 
-/// Whom an instance follows among members, of which it is one unless it is leaving. `sizes` tells of more
-/// instances than are known, where only the leaders are.
+/// Decides the role of an instance and whom it follows among `members`, which include it unless it is draining.
+/// `sizes` holds the true sizes of the failure domains if `members` are only the leaders.
 pub fn plan<'a>(
     own: &str,
     own_region: &str,
@@ -126,20 +119,19 @@
             () => (Role::Follower, sources.order_for(own, own_domain)),
         }
     } else {
-        let heads = heads(&candidates);
-        match heads.iter().position(|it| *it == own) {
-            // The head asks across the link; the standby does so only where the head is silent.
-            Some(rank) => (Role::Relay, [&heads[..rank], &readers[..]].concat()),
-            None if sources.has(own) => (Role::Relay, heads),
+        let gateways = gateways(&candidates);
+        match gateways.iter().position(|it| *it == own) {
+            // The gateway asks across the link; its standby does so only if the gateway does not answer.
+            Some(rank) => (Role::Relay, [&gateways[..rank], &readers[..]].concat()),
+            None if sources.has(own) => (Role::Relay, gateways),
             None => (Role::Follower, sources.order_for(own, own_domain)),
         }
     };
-    let patience_ms = if role == Role::Follower { patience(own, near.len()) } else { 0 };
+    let patience_ms = if role == Role::Follower { read_delay(own, near.len()) } else { 0 };
     Plan { role, asked, readers, patience_ms }
 }
 
-/// Regions that stand about as near to the store as any. A region without a measured instance counts as
-/// near, since nobody could be told to follow across the link then.
+/// Regions about as near to the store as the nearest one. A region without a measurement counts as near.
 fn regions_near_store<'a>(members: &[Member<'a>]) -> BTreeSet<&'a str> {
     let mut shortest: BTreeMap<&str, Option<Millis>> = BTreeMap::new();
     for it in members {
@@ -147,53 +139,58 @@
         *of_region = [*of_region, it.store_ms].into_iter().flatten().min();
     }
     let best = shortest.values().flatten().min().copied().unwrap_or(0);
-    let is_near = |it: Option<Millis>| it.is_none_or(|it| it <= best + FAR_MS);
+    let is_near = |it: Option<Millis>| it.is_none_or(|it| it <= best + FAR_REGION_MS);
     shortest.into_iter().filter(|it| is_near(it.1)).map(|it| it.0).collect()
 }
 
-/// Members that may be sources: the strong ones, since a weak one's link of 10 Mbit/s carries the list of
-/// 3,000 targets to 24 followers in a second or more. All where few are strong.
+/// Members that may be sources: the strong ones, since a narrow link delays all followers; or all
+/// members if there are too few strong ones.
 fn candidates<'a>(members: &[Member<'a>]) -> Vec<&'a str> {
     let capacities: Vec<_> = members.iter().map(|it| (it.name, it.capacity)).collect();
     let strong = strong(&capacities);
-    if READERS <= strong.len() { strong } else { capacities.into_iter().map(|it| it.0).collect() }
+    if READER_COUNT <= strong.len() {
+        strong
+    } else {
+        capacities.into_iter().map(|it| it.0).collect()
+    }
 }
 
 /// The readers and relays of a region.
 struct Sources<'a> {
-    /// Those that any instance follows.
+    /// Sources that any instance may follow.
     common: Vec<&'a str>,
-    /// Those of the failure domains that have their own.
+    /// Sources of the failure domains that have their own.
     of_domains: BTreeMap<&'a str, Vec<&'a str>>,
 }
 
 impl<'a> Sources<'a> {
-    fn new(members: &[Member<'a>], candidates: &[&'a str], told: &DomainSizes) -> Sources<'a> {
+    fn new(members: &[Member<'a>], candidates: &[&'a str], reported: &DomainSizes) -> Sources<'a> {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
         members.iter().for_each(|it| *sizes.entry(it.domain).or_default() += 1);
         for (domain, size) in &mut sizes {
-            *size = told.get(*domain).copied().unwrap_or(0).max(*size);
+            *size = reported.get(*domain).copied().unwrap_or(0).max(*size);
         }
         let mut of_domains = BTreeMap::new();
         let mut others = sizes.values().sum::<usize>();
-        let is_large = |it: &(&str, usize)| !it.0.is_empty() && LARGE_DOMAIN <= it.1;
+        let is_large = |it: &(&str, usize)| !it.0.is_empty() && LARGE_DOMAIN_INSTANCES <= it.1;
         for (domain, size) in sizes.into_iter().filter(is_large) {
-            let is_its = |it: &&Member<'_>| it.domain == domain && candidates.contains(&it.name);
-            let its: Vec<&str> = members.iter().filter(is_its).map(|it| it.name).collect();
-            let its = chosen(&its, size / FOLLOWERS);
-            if !its.is_empty() {
-                of_domains.insert(domain, its);
+            let is_candidate =
+                |it: &&Member<'_>| it.domain == domain && candidates.contains(&it.name);
+            let found: Vec<&str> = members.iter().filter(is_candidate).map(|it| it.name).collect();
+            let found = select(&found, size / FOLLOWERS_PER_SOURCE);
+            if !found.is_empty() {
+                of_domains.insert(domain, found);
                 others -= size;
             }
         }
-        Sources { common: chosen(candidates, source_count(others)), of_domains }
+        Sources { common: select(candidates, source_count(others)), of_domains }
     }
 
     fn has(&self, name: &str) -> bool {
         self.common.contains(&name) || self.of_domains.values().any(|it| it.contains(&name))
     }
 
-    /// The sources in the order in which an instance asks them: those of its failure domain first.
+    /// Sources in the order in which an instance asks them, those of its failure domain first.
     fn order_for(&self, own: &str, domain: &str) -> Vec<&'a str> {
         let near = self.of_domains.get(domain).map_or(&[][..], |it| it.as_slice());
         let is_far = |it: &&str| !near.contains(it);
@@ -202,50 +199,49 @@
     }
 }
 
-/// Whether a source with a link of so many Mbit/s sends its followers a configuration of so many bytes, as it
-/// is packed. Where it does not, each reads it from the store, which in a fleet of 985 instances read 110 kB
-/// each, 108 MB a change: two changes within a second kept readers from the store for seconds.
+/// Whether a source with a link of `link_mbps` Mbit/s sends its followers a configuration of `bytes` bytes,
+/// compressed. If not, each follower reads it from the store.
 pub fn sends_configuration(bytes: usize, link_mbps: u32) -> bool {
-    let bits = 8 * (bytes * FOLLOWERS) as u64;
-    // So many Mbit/s are as many thousand bits a millisecond.
-    bits <= CONFIGURATION_MS * 1000 * u64::from(link_mbps)
+    let bits = 8 * (bytes * FOLLOWERS_PER_SOURCE) as u64;
+    // 1 Mbit/s is 1000 bits per millisecond.
+    bits <= CONFIGURATION_SEND_MS * 1000 * u64::from(link_mbps)
 }
 
 fn source_count(members: usize) -> usize {
-    members.div_ceil(FOLLOWERS).max(READERS)
+    members.div_ceil(FOLLOWERS_PER_SOURCE).max(READER_COUNT)
 }
 
-/// When a follower loses its patience: each has a moment of its own, so that those who read by themselves
-/// do not fill the links together, and the later ones find an earlier one that has read.
-fn patience(own: &str, members: usize) -> Millis {
-    let span = LONGEST_PATIENCE_MS.min(PATIENCE_MS * members as Millis);
-    weight("patience", own) % span.max(1)
+/// Time in milliseconds that a follower waits before it reads the store itself. It is spread over the
+/// followers, so that their reads don't coincide and later ones can use the result of an earlier one.
+fn read_delay(own: &str, members: usize) -> Millis {
+    let max_delay = MAX_READ_DELAY_MS.min(READ_DELAY_PER_INSTANCE_MS * members as Millis);
+    weight("patience", own) % max_delay.max(1)
 }
 
-/// Members that read the store, in the order of `members`.
+/// Selects the members that read the store, in the order of `members`.
 pub fn readers<'a>(members: &[&'a str]) -> Vec<&'a str> {
-    chosen(members, READERS)
+    select(members, READER_COUNT)
 }
 
-/// Members that the others follow, readers included, in the order of `members`.
+/// Selects the members that the others follow, including the readers, in the order of `members`.
 pub fn sources<'a>(members: &[&'a str]) -> Vec<&'a str> {
-    chosen(members, source_count(members.len()))
+    select(members, source_count(members.len()))
 }
 
-/// The head of a region that is far from the store, and its standby.
-fn heads<'a>(members: &[&'a str]) -> Vec<&'a str> {
-    let mut heads = chosen(members, HEADS);
-    heads.sort_by_key(|it| std::cmp::Reverse(weight(KEY, it)));
-    heads
+/// Selects the gateway of a region that is far from the store, and its standby.
+fn gateways<'a>(members: &[&'a str]) -> Vec<&'a str> {
+    let mut gateways = select(members, GATEWAY_COUNT);
+    gateways.sort_by_key(|it| std::cmp::Reverse(weight(SELECTION_KEY, it)));
+    gateways
 }
 
-fn chosen<'a>(members: &[&'a str], count: usize) -> Vec<&'a str> {
-    let indices = subset(KEY, members.iter().copied(), count);
+fn select<'a>(members: &[&'a str], count: usize) -> Vec<&'a str> {
+    let indices = subset(SELECTION_KEY, members.iter().copied(), count);
     indices.into_iter().map(|it| members[it]).collect()
 }
 
-/// The sources in the order in which `own` asks them; each instance has an order of its own, so
-/// that a source's followers spread over the others once it is lost. `own` is left out.
+/// Sources without `own` in the order in which `own` asks them. The order differs by instance, so that
+/// the followers of a failed source spread over the others.
 pub fn order_for<'a>(own: &str, sources: &[&'a str]) -> Vec<&'a str> {
     let mut others: Vec<&str> = sources.iter().copied().filter(|it| *it != own).collect();
     others.sort_by_key(|it| std::cmp::Reverse(weight(own, it)));
