--- a/crates/holdpoint-core/src/catalog.rs
+++ b/crates/holdpoint-core/src/catalog.rs
@@ -1,7 +1,7 @@
-//! Typed resources, kept in step with the fold.
+//! Typed resources, parsed from the state of the control stream.
 //!
-//! One change replaces one entry and copies the index of its kind only: with every resource
-//! parsed again at each change, 25,000 organisations cost a node more than its share of a core.
+//! A change replaces one entry and copies only the index of its kind, since parsing all resources again at
+//! each change is too expensive with thousands of organisations.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -53,7 +53,7 @@
 }
 
 impl Catalog {
-    /// Makes the catalog of a whole state.
+    /// Makes the catalog of a complete state.
     pub fn new(state: &State) -> Catalog {
         let mut catalog = Catalog::default();
         for kind in KINDS {
@@ -64,8 +64,8 @@
         catalog
     }
 
-    /// Replaces one resource. A specification that this version of the program cannot read is
-    /// left out, so that an old instance never acts on half of a newer form.
+    /// Replaces or removes one resource. A specification that this program version cannot parse is
+    /// left out, so that an old instance never applies part of a newer format.
     pub fn set(&mut self, kind: &str, name: &str, entry: Option<&Entry>) {
         match kind {
             "pipelines" => put(&mut self.pipelines, name, entry, |it| Graph::new(&read(it)?).ok()),
@@ -84,7 +84,7 @@
 
     /// Organisation whose caller key has this SHA-256, in hexadecimal.
     pub fn organisation_of(&self, key_sha256: &str) -> Option<(&Name, &Organisation)> {
-        let name = self.keys.get(&hash_of(key_sha256)?)?;
+        let name = self.keys.get(&parse_hash(key_sha256)?)?;
         Some((name, &self.organisations.get(name)?.spec))
     }
 
@@ -96,7 +96,7 @@
     fn drop_keys(&mut self, name: &str) {
         let Some(old) = self.organisations.get(name) else { return };
         let keys = Arc::make_mut(&mut self.keys);
-        for key in old.spec.key_sha256.iter().filter_map(|it| hash_of(it)) {
+        for key in old.spec.key_sha256.iter().filter_map(|it| parse_hash(it)) {
             if keys.get(&key).is_some_and(|it| it == name) {
                 keys.remove(&key);
             }
@@ -106,13 +106,13 @@
     fn add_keys(&mut self, name: &str) {
         let Some(new) = self.organisations.get(name) else { return };
         let keys = Arc::make_mut(&mut self.keys);
-        for key in new.spec.key_sha256.iter().filter_map(|it| hash_of(it)) {
+        for key in new.spec.key_sha256.iter().filter_map(|it| parse_hash(it)) {
             keys.insert(key, name.to_owned());
         }
     }
 }
 
-/// Kinds in the order in which references point: a kind only names earlier ones.
+/// Kinds in the order of their references: a kind refers only to earlier ones.
 pub const KINDS: [&str; 6] =
     ["policies", "pools", "pipelines", "trials", "organisations", "placements"];
 
@@ -122,7 +122,7 @@
     serde_json::from_value(value).expect("the other fields have defaults")
 }
 
-/// Part of the schemas for a kind's specification.
+/// Part of the schemas that describes a kind's specification.
 pub fn part_of(kind: Kind) -> Part {
     match kind {
         Kind::Pipelines => Part::Pipeline,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Returns every fault of a specification: its form, its graph and the resources it names.
+/// Returns every fault of a specification: in its form, its graph and its references to resources.
 pub fn check(catalog: &Catalog, kind: Kind, spec: &Map<String, Value>) -> Vec<Fault> {
     let found = faults(part_of(kind), &Value::Object(spec.clone()));
     if !found.is_empty() {
@@ -144,11 +144,15 @@
         Kind::Pipelines => check_pipeline(catalog, spec),
         Kind::Pools => read::<Pool>(spec).map_or_else(Vec::new, |it| {
             let policy = it.policy;
-            missing(policy.is_empty() || catalog.policies.contains_key(&policy), "/policy", &policy)
+            unknown_reference(
+                policy.is_empty() || catalog.policies.contains_key(&policy),
+                "/policy",
+                &policy,
+            )
         }),
         Kind::Trials => check_trial(catalog, spec),
         Kind::Placements => read::<Placement>(spec).map_or_else(Vec::new, |it| {
-            missing(catalog.pools.contains_key(&it.pool), "/pool", &it.pool)
+            unknown_reference(catalog.pools.contains_key(&it.pool), "/pool", &it.pool)
         }),
         Kind::Policies | Kind::Organisations => Vec::new(),
     }
@@ -158,25 +162,25 @@
     let Some(pipeline) = read::<Pipeline>(spec) else { return Vec::new() };
     let mut found = Graph::new(&pipeline).err().unwrap_or_default();
     for (index, stage) in pipeline.stages.iter().enumerate() {
-        let known = catalog.pools.contains_key(&stage.pool);
-        found.extend(missing(known, &format!("/stages/{index}/pool"), &stage.pool));
+        let is_known = catalog.pools.contains_key(&stage.pool);
+        found.extend(unknown_reference(is_known, &format!("/stages/{index}/pool"), &stage.pool));
     }
     found
 }
 
 fn check_trial(catalog: &Catalog, spec: &Map<String, Value>) -> Vec<Fault> {
     let Some(trial) = read::<Trial>(spec) else { return Vec::new() };
-    let known = catalog.pipelines.contains_key(&trial.pipeline);
-    let mut found = missing(known, "/pipeline", &trial.pipeline);
+    let is_known = catalog.pipelines.contains_key(&trial.pipeline);
+    let mut found = unknown_reference(is_known, "/pipeline", &trial.pipeline);
     for (index, arm) in trial.arms.iter().enumerate() {
-        let known = catalog.policies.contains_key(&arm.policy);
-        found.extend(missing(known, &format!("/arms/{index}/policy"), &arm.policy));
+        let is_known = catalog.policies.contains_key(&arm.policy);
+        found.extend(unknown_reference(is_known, &format!("/arms/{index}/policy"), &arm.policy));
     }
     found
 }
 
-fn missing(known: bool, path: &str, name: &str) -> Vec<Fault> {
-    if known {
+fn unknown_reference(is_known: bool, path: &str, name: &str) -> Vec<Fault> {
+    if is_known {
         return Vec::new();
     }
     vec![Fault { path: path.to_owned(), text: format!("{name:?} does not exist") }]
@@ -201,8 +205,8 @@
     }
 }
 
-/// A SHA-256 from its hexadecimal text.
-fn hash_of(text: &str) -> Option<KeyHash> {
+/// Parses a SHA-256 in hexadecimal.
+fn parse_hash(text: &str) -> Option<KeyHash> {
     let mut hash = [0; 32];
     if text.len() != 2 * hash.len() || !text.is_ascii() {
         return None;
--- a/crates/holdpoint-core/src/change_log.rs
+++ b/crates/holdpoint-core/src/change_log.rs
@@ -1,30 +1,30 @@
-//! A bounded log of changes, for those who follow them.
+//! A bounded log of changes, from which followers read those that they lack.
 
 use std::collections::VecDeque;
 
 /// Position in a [`ChangeLog`]: the number of changes before it.
 pub type Revision = u64;
 
-/// The newest changes of something, numbered from 0.
+/// The newest changes, numbered from 0.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<T> {
-    kept: VecDeque<T>,
+    changes: VecDeque<T>,
     end: Revision,
-    most: usize,
+    capacity: usize,
 }
 
 impl<T: Clone> ChangeLog<T> {
-    /// Makes an empty log that keeps at most so many changes.
-    pub fn new(most: usize) -> ChangeLog<T> {
-        ChangeLog { kept: VecDeque::new(), end: 0, most }
+    /// Makes an empty log that keeps at most `capacity` changes.
+    pub fn new(capacity: usize) -> ChangeLog<T> {
+        ChangeLog { changes: VecDeque::new(), end: 0, capacity }
     }
 
-    /// Adds a change.
+    /// Appends a change; evicts the oldest one if the log is full.
     pub fn push(&mut self, change: T) {
-        if self.kept.len() == self.most {
-            self.kept.pop_front();
+        if self.changes.len() == self.capacity {
+            self.changes.pop_front();
         }
-        self.kept.push_back(change);
+        self.changes.push_back(change);
         self.end += 1;
     }
 
@@ -33,11 +33,11 @@
         self.end
     }
 
-    /// Changes from a position on; `None` where some of them are no longer kept, or where the
-    /// position is not one of this log's.
+    /// Changes from a position on; `None` if some of them were evicted, or if the position is beyond
+    /// the end.
     pub fn since(&self, from: Revision) -> Option<Vec<T>> {
         let behind = usize::try_from(self.end.checked_sub(from)?).ok()?;
-        let skipped = self.kept.len().checked_sub(behind)?;
-        Some(self.kept.iter().skip(skipped).cloned().collect())
+        let skipped = self.changes.len().checked_sub(behind)?;
+        Some(self.changes.iter().skip(skipped).cloned().collect())
     }
 }
--- a/crates/holdpoint-core/src/claims.rs
+++ b/crates/holdpoint-core/src/claims.rs
@@ -1,9 +1,9 @@
 //! Claims on calls that may not be repeated, as a fold over a claim stream.
 //!
 //! The first claim on a key in log order wins, and only its claimant may make the call. A claim
-//! never lapses to another claimant: whoever wakes late still holds the only right. Keys carry
-//! their own time; a claim that lands after its key's window is void everywhere, so an entry can
-//! be dropped at the end of the window without a second claim ever winning.
+//! never passes to another claimant unless it is released, so a paused claimant that resumes is still the
+//! only one. Keys contain their creation time. A claim that is appended after its key's window is void at
+//! every instance, so an entry can be evicted at the end of the window without a second claim winning.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -12,7 +12,7 @@
 
 use crate::ids::{CallSeq, Incarnation, Millis, Offset, key_time};
 
-/// Who holds a claim: the claim id.
+/// The call that makes a claim; identifies the claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claimant {
     /// Incarnation that may make the call.
@@ -21,31 +21,31 @@
     pub call: CallSeq,
 }
 
-/// How a claim ended.
+/// Outcome of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Not yet recorded.
     Open,
-    /// The whole answer as it went to the caller.
+    /// The complete response as sent to the caller.
     Answer(String),
-    /// The claimant will never know, or is gone.
+    /// The claimant cannot determine the outcome, or has stopped.
     Unknown,
-    /// The claimant never sent anything; the key is free again.
+    /// The claimant sent nothing to a target; the key is free again.
     Released,
 }
 
-/// How a key stands for one asking call.
+/// State of a key from the view of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nobody holds it.
+    /// No call holds it.
     Free,
-    /// The asking call holds it; the offset is its fencing token.
+    /// The call itself holds it; the offset is its fencing token.
     Won(Offset),
     /// Another call holds it and has recorded no outcome.
     Held(Claimant),
-    /// The recorded answer.
+    /// The recorded response.
     Done(String),
-    /// Recorded as unknown.
+    /// The outcome is recorded as unknown.
     Unknown,
     /// The key was claimed with another body.
     Mismatch,
@@ -68,12 +68,12 @@
     claimant: Claimant,
     offset: Offset,
     outcome: Outcome,
-    /// Claimants that gave the key up. A claim of theirs that lands again, because the answer to
-    /// its first append was lost, must not take the key a second time.
+    /// Claimants that released the key. If one of their claims is appended again, because the response to
+    /// its first append was lost, it must not win the key a second time.
     released: Vec<Claimant>,
 }
 
-/// Claims of one stream after some prefix of it.
+/// Claims of one stream after a prefix of its records.
 #[derive(Clone, Debug)]
 pub struct ClaimTable {
     window_ms: Millis,
@@ -93,45 +93,45 @@
 }
 
 impl ClaimTable {
-    /// Makes an empty table whose keys live for `window_ms`.
+    /// Makes an empty table whose keys are valid for `window_ms` milliseconds.
     pub fn new(window_ms: Millis) -> ClaimTable {
         let claims = HashMap::new();
         ClaimTable { window_ms, offset: 0, claims, by_time: BTreeSet::new() }
     }
 
-    /// Offset of the last record folded in.
+    /// Offset of the last record applied.
     pub fn offset(&self) -> Offset {
         self.offset
     }
 
-    /// Number of claims held in memory.
+    /// Number of claims in memory.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is held in memory.
+    /// Whether no claim is in memory.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Folds in the entries of the record at `offset`, appended at log time `at`.
+    /// Applies the entries of the record at `offset`, appended at log time `at`.
     pub fn apply(&mut self, offset: Offset, at: Millis, entries: &[ClaimEntry]) {
         if offset <= self.offset {
             return;
         }
         self.offset = offset;
         self.expire(at);
-        entries.iter().for_each(|it| self.step(offset, at, it));
+        entries.iter().for_each(|it| self.apply_entry(offset, at, it));
     }
 
-    /// Moves past an offset whose record could not be read.
+    /// Skips a record that could not be read.
     pub fn skip(&mut self, offset: Offset) {
         self.offset = self.offset.max(offset);
     }
 
-    /// How `key` stands for a call with this body.
-    pub fn standing(&self, key: &ClaimKey, body_hash: &str, asker: &Claimant) -> Standing {
-        let Some(claim) = self.claims.get(&joined(key)) else { return Standing::Free };
+    /// State of `key` for `caller`, whose request body has the hash `body_hash`.
+    pub fn standing(&self, key: &ClaimKey, body_hash: &str, caller: &Claimant) -> Standing {
+        let Some(claim) = self.claims.get(&joined_key(key)) else { return Standing::Free };
         if claim.outcome == Outcome::Released {
             return Standing::Free;
         }
@@ -142,17 +142,17 @@
             Outcome::Released => Standing::Free,
             Outcome::Answer(it) => Standing::Done(it.clone()),
             Outcome::Unknown => Standing::Unknown,
-            Outcome::Open if claim.claimant == *asker => Standing::Won(claim.offset),
+            Outcome::Open if claim.claimant == *caller => Standing::Won(claim.offset),
             Outcome::Open => Standing::Held(claim.claimant.clone()),
         }
     }
 
-    fn step(&mut self, offset: Offset, at: Millis, entry: &ClaimEntry) {
+    fn apply_entry(&mut self, offset: Offset, at: Millis, entry: &ClaimEntry) {
         let Some(time) = key_time(&entry.key.key) else { return };
         if time + self.window_ms < at {
             return;
         }
-        let key = joined(&entry.key);
+        let key = joined_key(&entry.key);
         let claimant = Claimant { incarnation: entry.claimant.clone(), call: entry.call };
         match (&entry.step, self.claims.get_mut(&key)) {
             (ClaimStep::Claim(it), None) => {
@@ -172,7 +172,7 @@
                 claim.offset = offset;
                 claim.outcome = Outcome::Open;
             }
-            // The release may land before the claim that it gives up, whose append was slow.
+            // The release may be appended before the claim that it releases, whose append was slow.
             (ClaimStep::Release(_), None) => {
                 let claim = Claim {
                     body_hash: String::new(),
@@ -210,7 +210,7 @@
     }
 }
 
-/// Checks the life of a key against the local wall clock.
+/// Checks the creation time of a key against the local wall clock, with `skew` as the largest clock difference.
 pub fn check_key(key: &str, now: Millis, window: Millis, skew: Millis) -> Result<(), BadKey> {
     let time = key_time(key).ok_or(BadKey::Format)?;
     if time + window < now + skew {
@@ -222,13 +222,13 @@
     Ok(())
 }
 
-/// Claim stream that a key belongs to, of `streams`.
+/// Index of the claim stream that a key belongs to, out of `streams`.
 pub fn stream_of(key: &ClaimKey, streams: u32) -> u32 {
-    let hash = xxh3_64(joined(key).as_bytes());
+    let hash = xxh3_64(joined_key(key).as_bytes());
     u32::try_from(hash % u64::from(streams.max(1))).unwrap_or(0)
 }
 
-/// The parts of a key in one text. Names hold no line feed, so two keys never give one text.
-fn joined(key: &ClaimKey) -> String {
+/// Joins the parts of a key. Names contain no line feed, so different keys give different texts.
+fn joined_key(key: &ClaimKey) -> String {
     format!("{}\n{}\n{}", key.organisation, key.pipeline, key.key)
 }
--- a/crates/holdpoint-core/src/fold.rs
+++ b/crates/holdpoint-core/src/fold.rs
@@ -1,7 +1,7 @@
 //! Control state as a fold over the records of the control stream.
 //!
-//! Every instance folds the same records in the same order, so every instance reaches the same
-//! state with no further agreement. Time is the log's own append time, never a local clock.
+//! All instances apply the same records in the same order, so they reach the same state without further
+//! coordination. Time is the append time of the log, never a local clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,16 +11,16 @@
 
 use crate::ids::{Incarnation, Millis, Name, Offset};
 
-/// How long a change id and a silent writer are remembered, in milliseconds of log time.
-pub const MEMORY_MS: Millis = 3_600_000;
+/// How long change ids and inactive writers are kept to detect duplicates, in milliseconds of log time.
+pub const RETENTION_MS: Millis = 3_600_000;
 
-/// A resource in force.
+/// An active resource.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// Offset of the record that set it.
     pub version: Offset,
-    /// Specification by the schema of its kind, as JSON text: a parsed one takes several times the
-    /// memory, and is needed only when it changes or is shown.
+    /// Specification by the schema of its kind, as JSON text, which takes less memory than the parsed
+    /// form.
     pub spec: Box<str>,
 }
 
@@ -31,25 +31,25 @@
     }
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Offset of the change's first record.
     pub offset: Offset,
-    /// Whether it was made against the version then in force.
+    /// Whether it was applied, since it was based on the version then active.
     pub won: bool,
-    /// Version in force after it: its own, or the one that it lost to.
+    /// Version that is active after it: its own, or the one that it conflicts with.
     pub version: Offset,
 }
 
-/// A lease as the log grants it.
+/// A lease granted by the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Incarnation that holds it.
+    /// Incarnation of the lease holder.
     pub holder: Incarnation,
-    /// Offset of the bid that won it: the fencing token of every order made under it.
+    /// Offset of the record that granted it: the fencing token of every order given under it.
     pub token: Offset,
-    /// Log time at which it lapses.
+    /// Log time at which it expires.
     pub until: Millis,
 }
 
@@ -59,7 +59,7 @@
     at: Millis,
 }
 
-/// Control state after some prefix of the control stream.
+/// Control state after a prefix of the control stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     offset: Offset,
@@ -70,7 +70,7 @@
     leases: BTreeMap<Name, Grant>,
 }
 
-/// What one record did to the state.
+/// Effect of one record on the state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// A resource was set or deleted.
@@ -79,35 +79,35 @@
         kind: String,
         /// Name of the resource.
         name: Name,
-        /// The resource as it now stands; `None` after a deletion.
+        /// The resource after the change; `None` after a deletion.
         entry: Option<Entry>,
     },
-    /// A change was made against a version no longer in force.
+    /// A change was based on a version that is no longer active.
     Conflict,
-    /// The record, or its change, was counted before.
+    /// The record, or its change, was already applied.
     Duplicate,
-    /// A lease was granted, renewed or given up.
+    /// A lease was granted, renewed or released.
     Leased,
-    /// A bid for a lease that another holds.
+    /// A bid for a lease that another incarnation holds.
     LeaseHeld,
-    /// Nothing that this stream folds.
+    /// The record does not affect this state.
     Ignored,
 }
 
 impl State {
-    /// Offset of the last record folded in.
+    /// Offset of the last record applied.
     pub fn offset(&self) -> Offset {
         self.offset
     }
 
-    /// Folds in the record at `offset`, appended at log time `at`.
+    /// Applies the record at `offset`, appended at log time `at`.
     pub fn apply(&mut self, offset: Offset, at: Millis, record: &Record) -> Effect {
         if offset <= self.offset {
             return Effect::Duplicate;
         }
         self.offset = offset;
-        self.forget(at);
-        if !self.count(record, at) {
+        self.evict_expired(at);
+        if !self.record_seq(record, at) {
             return Effect::Duplicate;
         }
         match &record.body {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Moves past an offset whose record could not be read, so that all instances skip it alike.
+    /// Skips a record that could not be read, as all other instances do.
     pub fn skip(&mut self, offset: Offset) {
         self.offset = self.offset.max(offset);
     }
@@ -132,19 +132,19 @@
         self.resources.get(kind).into_iter().flatten()
     }
 
-    /// Verdict on a change, while it is remembered.
+    /// Result of a change, as long as it is kept.
     pub fn verdict(&self, change: &str) -> Option<Verdict> {
         self.changes.get(change).copied()
     }
 
-    /// Grant of a lease, lapsed or not.
+    /// Latest grant of a lease, even if it has expired.
     pub fn grant(&self, lease: &str) -> Option<&Grant> {
         self.leases.get(lease)
     }
 
-    /// Whether the record was counted for the first time. A writer appends one record at a time,
-    /// so a sequence number at or below its highest is an append whose answer was lost.
-    fn count(&mut self, record: &Record, at: Millis) -> bool {
+    /// Records the writer's sequence number; returns whether the record is new. A writer appends one record
+    /// at a time, so a sequence number at or below its highest is a repeated append whose response was lost.
+    fn record_seq(&mut self, record: &Record, at: Millis) -> bool {
         let next = Writer { seq: record.seq, at };
         match self.writers.get_mut(&record.writer) {
             Some(it) if record.seq <= it.seq => false,
@@ -173,7 +173,7 @@
         }
         let kind = self.resources.entry(change.kind.clone()).or_default();
         let entry = (!change.spec.is_empty())
-            .then(|| Entry { version: offset, spec: text_of(&change.spec) });
+            .then(|| Entry { version: offset, spec: to_json(&change.spec) });
         match &entry {
             Some(it) => drop(kind.insert(change.name.clone(), it.clone())),
             None => drop(kind.remove(&change.name)),
@@ -193,19 +193,19 @@
         Effect::Leased
     }
 
-    fn forget(&mut self, at: Millis) {
-        let old = |it: Millis| it + MEMORY_MS < at;
-        while self.change_times.front().is_some_and(|it| old(it.0)) {
+    fn evict_expired(&mut self, at: Millis) {
+        let is_old = |it: Millis| it + RETENTION_MS < at;
+        while self.change_times.front().is_some_and(|it| is_old(it.0)) {
             let (_, change) = self.change_times.pop_front().expect("the front was just seen");
             self.changes.remove(&change);
         }
         let oldest = self.writers.values().map(|it| it.at).min();
-        if oldest.is_some_and(old) {
-            self.writers.retain(|_, it| !old(it.at));
+        if oldest.is_some_and(is_old) {
+            self.writers.retain(|_, it| !is_old(it.at));
         }
     }
 }
 
-fn text_of(spec: &Map<String, Value>) -> Box<str> {
+fn to_json(spec: &Map<String, Value>) -> Box<str> {
     serde_json::to_string(spec).expect("an object of JSON values is JSON").into_boxed_str()
 }
--- a/crates/holdpoint-core/src/snapshot.rs
+++ b/crates/holdpoint-core/src/snapshot.rs
@@ -1,17 +1,16 @@
 //! Snapshots of control state: a pure function of a prefix of the log, with offset and hash.
 //!
-//! A snapshot goes into a stream of its own, in parts that any log takes as records, and a mark
-//! without state goes into the control stream. With whole snapshots in the control stream every
-//! node read every one of them; see docs/CAPACITY.md.
+//! A snapshot is written to a stream of its own, in parts that fit into log records, and a mark without
+//! state to the control stream. So instances that only follow the control stream don't read the snapshots.
 
 use holdpoint_schema::records::Snapshot;
 
 use crate::{fold::State, ids::sha256_hex};
 
-/// Most bytes of state in one part.
+/// Largest size of the state in one part, in bytes.
 pub const PART_BYTES: usize = 256 << 10;
 
-/// A snapshot that cannot be used.
+/// Why a snapshot cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadSnapshot {
     /// A part is missing.
@@ -20,32 +19,32 @@
     Hash,
     /// The state cannot be read.
     Format,
-    /// The state is of another offset than the snapshot says.
+    /// The offset of the state differs from that of the snapshot.
     Offset,
 }
 
-/// Takes a snapshot of a state, in parts of up to `part_bytes`.
+/// Takes a snapshot of a state, in parts of up to `part_bytes` bytes.
 pub fn take(state: &State, part_bytes: usize) -> Vec<Snapshot> {
     let text = serde_json::to_string(state).expect("a state has string keys only");
     let hash = sha256_hex(text.as_bytes());
-    let pieces = pieces(&text, part_bytes.max(4));
-    let parts = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-    let part = |(part, piece): (u32, &str)| Snapshot {
+    let chunks = chunks(&text, part_bytes.max(4));
+    let parts = u32::try_from(chunks.len()).unwrap_or(u32::MAX);
+    let part = |(part, chunk): (u32, &str)| Snapshot {
         offset: state.offset(),
         hash: hash.clone(),
         part,
         parts,
-        state: piece.to_owned(),
+        state: chunk.to_owned(),
     };
-    (0..).zip(pieces).map(part).collect()
+    (0..).zip(chunks).map(part).collect()
 }
 
-/// The mark of a snapshot in the control stream.
+/// Returns the mark of a snapshot for the control stream.
 pub fn mark(of: &Snapshot) -> Snapshot {
     Snapshot { part: 0, parts: 0, state: String::new(), ..of.clone() }
 }
 
-/// Reads the state out of the parts of one snapshot, in any order and with repetitions.
+/// Restores the state from the parts of one snapshot, which may be in any order and repeated.
 pub fn restore<'a>(found: impl IntoIterator<Item = &'a Snapshot>) -> Result<State, BadSnapshot> {
     let mut parts: Vec<&Snapshot> = found.into_iter().collect();
     parts.sort_by_key(|it| it.part);
@@ -67,9 +66,10 @@
 
 /// Whether this instance should try to append a snapshot now.
 ///
-/// Any instance may; a duplicate is harmless. Rank 0 goes first and each later rank waits one
-/// step more, so that a dead first writer is replaced without agreement.
+/// Any instance may append one, and duplicates are harmless. Rank 0 is the first and each later rank waits
+/// one step longer, so that a failed writer is replaced without coordination.
 pub fn is_due(records_since: u64, age_ms: u64, retention_ms: u64, rank: usize) -> bool {
+    /// Number of steps into which the retention period is divided.
     const STEPS: u64 = 16;
     if records_since == 0 {
         return false;
@@ -79,18 +79,18 @@
     retention_ms / 4 + wait <= age_ms
 }
 
-fn pieces(text: &str, bytes: usize) -> Vec<&str> {
-    let mut pieces = Vec::new();
+fn chunks(text: &str, bytes: usize) -> Vec<&str> {
+    let mut chunks = Vec::new();
     let mut rest = text;
     while bytes < rest.len() {
         let mut end = bytes;
         while !rest.is_char_boundary(end) {
             end -= 1;
         }
-        let (piece, after) = rest.split_at(end);
-        pieces.push(piece);
+        let (chunk, after) = rest.split_at(end);
+        chunks.push(chunk);
         rest = after;
     }
-    pieces.push(rest);
-    pieces
+    chunks.push(rest);
+    chunks
 }
