--- a/crates/holdpoint-core/src/event_split.rs
+++ b/crates/holdpoint-core/src/event_split.rs
@@ -1,26 +1,26 @@
-//! Cuts a byte stream of server-sent events into whole events, byte for byte.
+//! Splits a byte stream of server-sent events into complete events without changing any byte.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event, with the blank line that ends it.
+/// One complete event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WholeEvent {
     /// Its bytes.
     pub bytes: Bytes,
-    /// Its id, where it has one.
+    /// Its id, if it has one.
     pub id: Option<String>,
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer in which no end was found.
+    /// Length of the buffer's prefix that contains no end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<WholeEvent> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -33,7 +33,7 @@
         events
     }
 
-    /// Whether part of an event is held back.
+    /// Whether part of an event is buffered.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
@@ -42,10 +42,10 @@
     fn find_end(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(3);
         let tail = &self.buffer[from..];
-        let plain = tail.windows(2).position(|it| it == b"\n\n").map(|it| it + 2);
-        let carriage = tail.windows(4).position(|it| it == b"\r\n\r\n").map(|it| it + 4);
+        let lf_end = tail.windows(2).position(|it| it == b"\n\n").map(|it| it + 2);
+        let crlf_end = tail.windows(4).position(|it| it == b"\r\n\r\n").map(|it| it + 4);
         self.searched = self.buffer.len();
-        [plain, carriage].into_iter().flatten().min().map(|it| from + it)
+        [lf_end, crlf_end].into_iter().flatten().min().map(|it| from + it)
     }
 }
 
--- a/crates/holdpoint-core/src/ingress.rs
+++ b/crates/holdpoint-core/src/ingress.rs
@@ -1,8 +1,8 @@
 //! The ingress configuration: which service answers a request, under which limits.
 //!
-//! A [`Configuration`] is one whole, immutable version. Routes are found by host and longest path
-//! prefix, organisations by their key. [`newer`] is the only way from one version to the next, so
-//! that no instance ever goes back.
+//! A [`Configuration`] is one complete, immutable version. Routes are found by host and longest path
+//! prefix, organisations by their key. An instance replaces its version only if [`newer`] allows it, so it
+//! never returns to an older one.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,28 +11,28 @@
 
 use crate::{confinement::Confinement, ids::Name};
 
-/// Version of a configuration; versions rise in uneven steps.
+/// Version of a configuration; versions increase, but not always by 1.
 pub type Version = u64;
 
-/// How often a request may run.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
     /// Any number of times.
     Free,
-    /// At most once for each attempt of the caller.
+    /// At most once for each attempt by the caller.
     Once,
 }
 
-/// What the answers of a route are.
+/// Form of the responses of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
-    /// One whole body.
+    /// A single body.
     Whole,
-    /// A series of events, with the longest pause that is still in time.
+    /// A stream of events.
     Events {
-        /// Longest pause between events, in milliseconds.
+        /// Longest pause between events that still counts as timely, in milliseconds.
         gap_ms: u64,
-        /// Longest silence that callers bear, before the first event too, in milliseconds.
+        /// Longest pause that callers tolerate, including that before the first event, in milliseconds.
         silence_ms: u64,
     },
 }
@@ -40,11 +40,11 @@
 /// One stage of a route's graph.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageStep {
-    /// Service whose targets make the results.
+    /// Service whose targets compute the results.
     pub service: Name,
     /// Indices of the stages whose results it needs.
     pub after: Vec<usize>,
-    /// About how large one result is, in bytes.
+    /// Approximate size of one result, in bytes.
     pub bytes: u64,
 }
 
@@ -53,35 +53,35 @@
 pub struct IngressRoute {
     /// Name.
     pub name: Name,
-    /// Host that it answers for, in lower case.
+    /// Host that it matches, in lower case.
     pub host: String,
-    /// Prefix of the paths that it answers for.
+    /// Path prefix that it matches.
     pub prefix: String,
     /// Services that may answer, with their weights.
     pub services: Vec<(Name, u32)>,
-    /// How often a request may run.
+    /// How often a request may be executed.
     pub repeat: Repeat,
-    /// What its answers are.
+    /// Form of its responses.
     pub shape: Shape,
-    /// Longest time that a request is held, in milliseconds.
+    /// Longest time that a request may take, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full worth, in milliseconds.
+    /// Latency up to which a response has its full value, in milliseconds.
     pub target_ms: u64,
-    /// Rank; 0 goes first.
+    /// Priority rank; 0 is served first.
     pub rank: u32,
-    /// Most targets that one request may be sent to.
+    /// Largest number of targets that one request may be sent to.
     pub attempts: u32,
     /// Stages before the service itself.
     pub stages: Vec<StageStep>,
-    /// Whether requests carry no organisation's key.
+    /// Whether requests need no organisation's key.
     pub is_anonymous: bool,
-    /// Whether requests about the same subject should meet at the same target.
+    /// Whether requests about the same subject should be sent to the same target.
     pub is_sticky: bool,
     /// Regions in which its requests may be served.
     pub confinement: Confinement,
 }
 
-/// What the engines of a service can do.
+/// Limits of the engines of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineLimits {
     /// Requests in one batch.
@@ -90,31 +90,31 @@
     pub memory_tokens: u64,
 }
 
-/// How the targets of a service make results of a stage.
+/// Limits and costs of batched calls to the targets of a service, for results of a stage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchLimits {
-    /// Calls at work at once.
+    /// Calls processed concurrently.
     pub calls: u32,
-    /// Calls that may wait.
+    /// Calls that may be queued.
     pub queue: u32,
-    /// Most pieces in one call.
+    /// Largest number of items in one call.
     pub pieces: u32,
-    /// Time of a call without its pieces, in milliseconds.
+    /// Fixed time of a call, without its items, in milliseconds.
     pub call_ms: f64,
-    /// Time of each piece, in milliseconds.
+    /// Additional time for each item, in milliseconds.
     pub piece_ms: f64,
-    /// Room for results, in bytes.
+    /// Storage for results, in bytes.
     pub room_bytes: u64,
     /// How long a result is kept, in milliseconds.
     pub keep_ms: u64,
 }
 
-/// What the targets of a service carry as long as they are cold.
+/// Limits of the targets of a service while they are cold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdLimits {
-    /// Requests a second to one target.
+    /// Requests per second to one target.
     pub per_s: f64,
-    /// How long a target is cold after its start, in milliseconds.
+    /// Time for which a target is cold after its start, in milliseconds.
     pub start_ms: u64,
 }
 
@@ -123,24 +123,24 @@
 pub struct Service {
     /// Name.
     pub name: Name,
-    /// Connections that each target takes from all callers together.
+    /// Connections that each target accepts from all instances together.
     pub max_connections: u32,
-    /// Set where its cold targets carry less than others.
+    /// Set if its cold targets have lower limits.
     pub cold: Option<ColdLimits>,
-    /// Set where its targets are engines.
+    /// Set if its targets are engines.
     pub engine: Option<EngineLimits>,
-    /// Set where its targets make results of stages.
+    /// Set if its targets compute results of stages.
     pub batches: Option<BatchLimits>,
 }
 
-/// Most connections at rest to one target that an instance keeps.
-const MOST_AT_REST: usize = 16;
+/// Largest number of idle connections to one target that an instance keeps.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 impl Service {
-    /// Connections at rest to one target that each of so many instances may keep, so that all together are no
-    /// more than the target takes.
+    /// Idle connections to one target that each of `instances` instances may keep, so that all together don't
+    /// exceed the limit of the target.
     pub fn at_rest(&self, instances: usize) -> usize {
-        (self.max_connections as usize / instances.max(1)).min(MOST_AT_REST)
+        (self.max_connections as usize / instances.max(1)).min(MAX_IDLE_CONNECTIONS)
     }
 }
 
@@ -149,36 +149,36 @@
 pub struct Tenancy {
     /// Name.
     pub name: Name,
-    /// Rank that a route's rank yields to.
+    /// Priority rank that overrides a route's.
     pub rank: Option<u32>,
     /// Regions in which its requests may be served.
     pub confinement: Confinement,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of what a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Largest head of a request, in bytes.
     pub head_bytes: usize,
     /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take, in milliseconds.
+    /// Longest time to receive a head, in milliseconds.
     pub head_ms: u64,
-    /// How long a connection may rest, in milliseconds.
+    /// Longest time that a connection may be idle, in milliseconds.
     pub idle_ms: u64,
 }
 
-/// Where a configuration has no limits, these hold.
+/// Limits for a configuration that states none.
 impl Default for CallerLimits {
     fn default() -> CallerLimits {
         CallerLimits { head_bytes: 16 << 10, body_bytes: 4 << 20, head_ms: 3000, idle_ms: 15_000 }
     }
 }
 
-/// One whole version of the ingress configuration.
+/// One complete version of the ingress configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Version; 0 is none.
+    /// Version; 0 means that there is none.
     pub version: Version,
     /// Services by name.
     pub services: HashMap<Name, Arc<Service>>,
@@ -189,21 +189,20 @@
     /// Organisations by key.
     organisations: HashMap<String, Arc<Tenancy>>,
     has_organisations: bool,
-    /// Regions that routes and organisations name.
     confinements: Vec<Confinement>,
 }
 
 /// Why a request has no route or no organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// No route answers for its host and path.
+    /// No route matches its host and path.
     NoRoute,
-    /// Its key is unknown or absent.
+    /// Its key is unknown or missing.
     BadKey,
 }
 
 impl Configuration {
-    /// Makes a configuration of its parts. `organisations` is `None` where callers need no key.
+    /// Makes a configuration of its parts. `organisations` is `None` if callers need no key.
     pub fn new(
         version: Version,
         routes: Vec<IngressRoute>,
@@ -240,14 +239,14 @@
         }
     }
 
-    /// Finds the route of a request by its host, which may name a port, and its path.
+    /// Finds the route of a request by its host, which may include a port, and its path.
     pub fn route(&self, host: &str, path: &str) -> Result<&Arc<IngressRoute>, Denied> {
         let host = host.split(':').next().unwrap_or_default().to_ascii_lowercase();
         let routes = self.routes.get(&host).ok_or(Denied::NoRoute)?;
         routes.iter().find(|it| path.starts_with(&it.prefix)).ok_or(Denied::NoRoute)
     }
 
-    /// Finds the organisation of a key; `None` where the route needs none.
+    /// Finds the organisation of a key; `None` if the route needs none.
     pub fn organisation(
         &self,
         route: &IngressRoute,
@@ -260,7 +259,7 @@
         found.map(Some).ok_or(Denied::BadKey)
     }
 
-    /// What routes and organisations are confined to; empty where none is.
+    /// Restrictions of routes and organisations to regions; empty if there are none.
     pub fn confinements(&self) -> &[Confinement] {
         &self.confinements
     }
@@ -272,7 +271,7 @@
 }
 
 impl IngressRoute {
-    /// Chooses the service of a request; the same id always goes to the same one.
+    /// Chooses the service of a request by weight; the same request id always gets the same one.
     pub fn service_of(&self, request_id: &str) -> Option<&str> {
         let total: u64 = self.services.iter().map(|it| u64::from(it.1)).sum();
         if total == 0 {
@@ -289,10 +288,10 @@
         None
     }
 
-    /// Longest time that a request may take whose caller waits for `patience`.
-    pub fn time_limit(&self, patience: Option<Duration>) -> Duration {
+    /// Longest time that a request may take if its caller tolerates `max_latency`.
+    pub fn time_limit(&self, max_latency: Option<Duration>) -> Duration {
         let timeout = Duration::from_millis(self.timeout_ms);
-        patience.map_or(timeout, |it| it.min(timeout))
+        max_latency.map_or(timeout, |it| it.min(timeout))
     }
 
     /// Rank of a request of an organisation.
@@ -300,13 +299,14 @@
         tenancy.and_then(|it| it.rank).unwrap_or(self.rank)
     }
 
-    /// Regions in which a request of an organisation may be served: those that both allow.
+    /// Regions in which a request of an organisation may be served: those that both the route and the
+    /// organisation allow.
     pub fn confinement_for(&self, tenancy: Option<&Tenancy>) -> Confinement {
         tenancy.map_or_else(|| self.confinement.clone(), |it| self.confinement.and(&it.confinement))
     }
 }
 
-/// Whether a configuration that was found may replace the one in force: only a later version may.
-pub fn newer(in_force: Version, found: Version) -> bool {
-    in_force < found
+/// Whether version `found` may replace the active version: it must be a later one.
+pub fn newer(active: Version, found: Version) -> bool {
+    active < found
 }
--- a/crates/holdpoint-core/src/lib.rs
+++ b/crates/holdpoint-core/src/lib.rs
@@ -1,17 +1,17 @@
-//! Every decision of holdpoint as plain structs and functions.
+//! The decision logic of holdpoint as plain structs and functions.
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers of its own: times and random
-//! generators are arguments, so that a test can replay any decision.
+//! Nothing here does I/O, reads a clock or creates random numbers: times and random generators are
+//! arguments, so that tests can reproduce any decision.
 //!
 //! ```
 //! use holdpoint_core::ledger::Ledger;
 //!
-//! // "Not run" can be said only by a ledger that no call was sent under.
+//! // A ledger proves that a request has not run only if no call was sent under it.
 //! let ledger = Ledger::new();
 //! let call = ledger.begin().expect("the ledger is open");
 //! call.never_sent();
 //! assert!(ledger.close().is_ok());
-//! assert!(ledger.begin().is_none(), "a closed ledger lets nothing through");
+//! assert!(ledger.begin().is_none(), "a closed ledger admits no calls");
 //! ```
 
 pub mod admission;
--- a/crates/holdpoint-core/src/prelude.rs
+++ b/crates/holdpoint-core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for import as a whole.
+//! Commonly used types, for glob imports.
 
 pub use crate::{
     catalog::Catalog,
--- a/crates/holdpoint-core/src/token.rs
+++ b/crates/holdpoint-core/src/token.rs
@@ -1,4 +1,4 @@
-//! Resume tokens: where a caller's stream stands, authenticated, so that any instance can go on.
+//! Resume tokens: the authenticated position of a caller's stream, from which any instance can resume it.
 
 use base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD};
 use hmac::{Hmac, KeyInit, Mac};
@@ -7,12 +7,13 @@
 
 use crate::ids::Name;
 
+/// Length of the truncated HMAC in a token.
 const TAG_BYTES: usize = 16;
 
-/// Where a stream stands.
+/// Position of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// Organisation that may go on reading.
+    /// Organisation that may resume the stream.
     #[serde(rename = "o")]
     pub organisation: Name,
     /// Pipeline.
@@ -27,7 +28,7 @@
     /// Address of the target that streams.
     #[serde(rename = "t")]
     pub target: String,
-    /// Attempt id, by which the target knows the stream.
+    /// Attempt id, by which the target identifies the stream.
     #[serde(rename = "a")]
     pub attempt: String,
     /// Index of the next chunk.
@@ -44,43 +45,47 @@
     pub secret: Vec<u8>,
 }
 
-/// A token that is not accepted.
+/// Why a token is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadToken {
-    /// Not of the form of a token.
+    /// The token is malformed.
     Format,
-    /// Signed by a key that is no longer known.
+    /// The token is signed by an unknown key.
     Key,
     /// The tag does not match.
     Tag,
 }
 
-/// Makes a token; the first key signs. There must be one, as the settings require.
-pub fn seal(place: &Place, keys: &[TokenKey]) -> String {
+/// Makes a token signed by the first key.
+///
+/// # Panics
+///
+/// Panics if `keys` is empty, which the settings don't allow.
+pub fn seal(position: &Place, keys: &[TokenKey]) -> String {
     let key = &keys[0];
-    let body = serde_json::to_vec(place).expect("a place has string keys only");
+    let body = serde_json::to_vec(position).expect("a position has string keys only");
     let tag = tag(key, &body).finalize().into_bytes();
     let encoded = URL_SAFE_NO_PAD.encode(&body);
     format!("{}.{encoded}.{}", key.id, URL_SAFE_NO_PAD.encode(&tag[..TAG_BYTES]))
 }
 
-/// Reads a token that one of `keys` signed.
+/// Verifies a token by `keys` and reads its position.
 pub fn open(token: &str, keys: &[TokenKey]) -> Result<Place, BadToken> {
     let mut parts = token.splitn(3, '.');
     let mut part = || parts.next().ok_or(BadToken::Format);
-    let (id, body, mark) = (part()?, part()?, part()?);
+    let (id, body, received_tag) = (part()?, part()?, part()?);
     let id: u32 = id.parse().map_err(|_| BadToken::Format)?;
     let body = URL_SAFE_NO_PAD.decode(body).map_err(|_| BadToken::Format)?;
-    let mark = URL_SAFE_NO_PAD.decode(mark).map_err(|_| BadToken::Format)?;
-    if mark.len() != TAG_BYTES {
+    let received_tag = URL_SAFE_NO_PAD.decode(received_tag).map_err(|_| BadToken::Format)?;
+    if received_tag.len() != TAG_BYTES {
         return Err(BadToken::Format);
     }
     let key = keys.iter().find(|it| it.id == id).ok_or(BadToken::Key)?;
-    tag(key, &body).verify_truncated_left(&mark).map_err(|_| BadToken::Tag)?;
+    tag(key, &body).verify_truncated_left(&received_tag).map_err(|_| BadToken::Tag)?;
     serde_json::from_slice(&body).map_err(|_| BadToken::Format)
 }
 
-/// Reads the place in a token without checking who made it; a caller's own bookkeeping only.
+/// Reads the position in a token without verifying the signature; only for a caller's own use.
 pub fn peek(token: &str) -> Option<Place> {
     let body = token.split('.').nth(1)?;
     serde_json::from_slice(&URL_SAFE_NO_PAD.decode(body).ok()?).ok()
