--- a/crates/holdpointd/src/ingress/heard.rs
+++ b/crates/holdpointd/src/ingress/heard.rs
@@ -1,4 +1,4 @@
-//! A connection that notes when its far side was last heard.
+//! A stream that records when bytes last arrived, for the detection of silent peers.
 
 use std::{
     io,
@@ -12,37 +12,37 @@
 use parking_lot::Mutex;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// When bytes last came; at first, when the connection was made.
+/// Time at which bytes last arrived; initially the time at which the connection was made.
 #[derive(Clone, Debug)]
-pub(crate) struct LastHeard(Arc<Mutex<Instant>>);
+pub(crate) struct LastReceived(Arc<Mutex<Instant>>);
 
-impl LastHeard {
-    /// Notes the moment at which a connection is made.
-    pub(crate) fn new() -> LastHeard {
-        LastHeard(Arc::new(Mutex::new(Instant::now())))
+impl LastReceived {
+    /// Starts at the present time.
+    pub(crate) fn new() -> LastReceived {
+        LastReceived(Arc::new(Mutex::new(Instant::now())))
     }
 
-    /// For how long nothing has come.
+    /// Time since bytes last arrived.
     pub(crate) fn silence(&self) -> Duration {
         self.0.lock().elapsed()
     }
 }
 
-/// A stream that notes when bytes come.
+/// A stream that records the arrival of bytes.
 #[derive(Debug)]
-pub(crate) struct Heard<S> {
+pub(crate) struct MonitoredStream<S> {
     stream: S,
-    last: LastHeard,
+    last: LastReceived,
 }
 
-impl<S> Heard<S> {
-    /// Notes in `last` when bytes come.
-    pub(crate) fn new(stream: S, last: LastHeard) -> Heard<S> {
-        Heard { stream, last }
+impl<S> MonitoredStream<S> {
+    /// Wraps a stream; arrivals are recorded in `last`.
+    pub(crate) fn new(stream: S, last: LastReceived) -> MonitoredStream<S> {
+        MonitoredStream { stream, last }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Heard<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MonitoredStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -57,7 +57,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Heard<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for MonitoredStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/holdpointd/src/ingress/intake.rs
+++ b/crates/holdpointd/src/ingress/intake.rs
@@ -1,4 +1,7 @@
-//! Takes in what another instance tells of what it knows.
+//! Applies updates received from other instances: configuration, targets, peers, resources, roll-outs and
+//! evacuations.
+//!
+//! Full lists replace the known state only where the sender has read the store recently.
 
 use std::sync::Arc;
 
@@ -18,26 +21,26 @@
     },
 };
 
-/// What came of an answer.
+/// Outcome of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Taken {
-    /// The one that answers has read the store of late, or follows one that has.
+    /// The sender has read the store recently, or follows an instance that has.
     Fresh,
-    /// It has not.
+    /// The sender's state is outdated.
     Stale,
-    /// News could not be read: what happened is not known, so that all has to be told anew.
+    /// The changes could not be decoded, so a full snapshot has to be sent again.
     Unreadable,
 }
 
-/// Takes in what another instance tells.
+/// Applies an update from another instance.
 pub(crate) fn take_in(shared: &Arc<IngressShared>, update: Update) -> Taken {
     if shared.eras.hear(update.era) == Heard::Over {
-        // What it knows is from before the store's return, which it has not heard of.
+        // The update is of an epoch before the store's restoration; only its configuration is used.
         take_configuration(shared, &update);
         return Taken::Stale;
     }
-    // Before what makes an instance ready: one that starts gives an evacuated domain and a version that
-    // is rolled out no work.
+    // Applied before the lists that make an instance ready, so that one that starts sends no work to an
+    // evacuated domain and respects running roll-outs.
     if let Some(it) = update.rollouts.clone() {
         rollouts::take_over(shared, it.taken(shared.clock.now()), "peer");
     }
@@ -46,35 +49,35 @@
     }
     take_configuration(shared, &update);
     let is_fresh = update.age_ms.is_some();
-    // Only one who has read the store of late knows that a peer which it does not name has left; and one
-    // that has started just now has read the targets before the peers, perhaps.
-    let is_whole = is_fresh && update.knows_peers.unwrap_or(true);
+    // A peer missing from the list has left only if the sender has read the store recently. A sender that has
+    // just started may have read the targets but not yet the peers.
+    let is_complete = is_fresh && update.knows_peers.unwrap_or(true);
     if update.knows_peers == Some(true) && matches!(update.content, Some(Content::Packed { .. })) {
         shared.peers.note_read();
     }
     match update.content {
         None => (),
-        Some(Content::News(news)) => take_news(shared, news),
+        Some(Content::News(news)) => apply_changes(shared, news),
         Some(Content::PackedNews(news)) => match unpacked(shared, &news) {
-            Some(it) => take_news(shared, it),
+            Some(it) => apply_changes(shared, it),
             None => return Taken::Unreadable,
         },
         Some(Content::All { targets, peers, resources }) => {
-            take_resources(shared, resources, is_fresh);
+            apply_resources(shared, resources, is_fresh);
             let peers = peers.into_iter().map(|(name, peer)| (name, Some(peer)));
-            shared.set_peers(peers.collect(), is_whole);
+            shared.set_peers(peers.collect(), is_complete);
             let list = targets.and_then(|it| serde_json::from_slice(&it).ok());
-            list.into_iter().for_each(|it| take_targets(shared, it, is_fresh));
+            list.into_iter().for_each(|it| apply_targets(shared, it, is_fresh));
         }
         Some(Content::Packed { targets, peers, resources }) => {
-            take_resources(shared, resources, is_fresh);
+            apply_resources(shared, resources, is_fresh);
             let peers: Option<Vec<(Name, Peer)>> = peers.and_then(|it| unpacked(shared, &it));
             if let Some(it) = peers {
                 let it = it.into_iter().map(|(name, peer)| (name, Some(peer)));
-                shared.set_peers(it.collect(), is_whole);
+                shared.set_peers(it.collect(), is_complete);
             }
             if let Some(it) = targets.and_then(|it| unpacked(shared, &it)) {
-                take_targets(shared, it, is_fresh);
+                apply_targets(shared, it, is_fresh);
             }
         }
     }
@@ -87,7 +90,7 @@
     if is_fresh { Taken::Fresh } else { Taken::Stale }
 }
 
-/// Takes in the configuration that another instance sent, if it did.
+/// Applies the configuration in an update, if there is one.
 pub(crate) fn take_configuration(shared: &IngressShared, update: &Update) {
     if let Some(it) = &update.configuration {
         shared.offer_configuration(it, "peer");
@@ -101,17 +104,17 @@
     }
 }
 
-/// Reads a packed list; one that cannot be read is left aside.
+/// Decodes a packed list; logs and skips one that cannot be decoded.
 pub(crate) fn unpacked<T: DeserializeOwned>(shared: &IngressShared, packed: &[u8]) -> Option<T> {
-    let read = unpack(packed);
-    let note = |it: &Unreadable| {
+    let decoded = unpack(packed);
+    let log_error = |it: &Unreadable| {
         let detail = format!("bytes={} cause=\"{it}\"", packed.len());
         emit(events::BAD_LIST, &shared.settings.instance, &detail);
     };
-    read.inspect_err(note).ok()
+    decoded.inspect_err(log_error).ok()
 }
 
-fn take_news(shared: &IngressShared, news: Vec<News>) {
+fn apply_changes(shared: &IngressShared, news: Vec<News>) {
     let (mut targets, mut peers) = (Vec::new(), Vec::new());
     for it in news {
         match it {
@@ -133,20 +136,20 @@
     });
 }
 
-/// Takes in all resources that another one knows, as with peers.
-fn take_resources(shared: &IngressShared, resources: Vec<(String, Bytes)>, is_fresh: bool) {
+/// Applies a full list of resources. Resources missing from a recent list are removed.
+fn apply_resources(shared: &IngressShared, resources: Vec<(String, Bytes)>, is_fresh: bool) {
     if is_fresh {
         let is_named = |key: &str| resources.iter().any(|it| it.0 == key);
-        // A held request is released by a word of its own: a list may be older than what holds it.
+        // Quarantines aren't removed this way: the list may be older than the quarantine, and ends are sent
+        // explicitly.
         let known = shared.experiments.all().into_iter();
         known.filter(|it| !is_named(&it.0)).for_each(|it| shared.set_resource(&it.0, None));
     }
     resources.into_iter().for_each(|(key, value)| shared.set_resource(&key, Some(value)));
 }
 
-/// Takes in all targets that another instance knows; what it read too long ago is better than
-/// nothing only.
-fn take_targets(shared: &IngressShared, list: TargetList, is_fresh: bool) {
+/// Applies a full list of targets. An outdated list is used only where no targets are known.
+fn apply_targets(shared: &IngressShared, list: TargetList, is_fresh: bool) {
     let (listed, lapsed) = list.into_targets();
     let now = shared.clock.now();
     shared.change_directory(|directory, changes| {
--- a/crates/holdpointd/src/ingress/links.rs
+++ b/crates/holdpointd/src/ingress/links.rs
@@ -1,5 +1,7 @@
-//! Connections to peers: how they are made, how it is noticed that a peer is silent, and for how long
-//! it is passed over then.
+//! Connections to peers, and the detection of silent peers.
+//!
+//! Each connection is monitored by pings while the peer is in use. A silent peer is suspect, and not used for a
+//! time that doubles with each repetition.
 
 use std::{
     collections::HashMap,
@@ -27,40 +29,38 @@
         batches::StageLoads,
         connections::guard,
         follow::catch_up,
-        heard::{Heard, LastHeard},
+        heard::{LastReceived, MonitoredStream},
         peer_service::{IngressPeersClient, Standing, codec},
         shared::IngressShared,
     },
 };
 
-/// How long a connection to a peer may take to be made, its distance left aside.
-const CONNECT: Duration = Duration::from_millis(300);
-/// How often a peer that works for this instance is asked whether it is there.
-const PING: Duration = Duration::from_millis(250);
-/// How often it is looked whether a connection that rests is needed any more.
-const REST: Duration = Duration::from_millis(5000);
-/// How long it may take to answer, its distance left aside.
-const PING_LIMIT: Duration = Duration::from_millis(350);
-/// How long nothing may come while an answer is awaited that may be large, its distance left aside: it
-/// is made, and waits for its turn on the links, before its first bytes come. Without this bound, a
-/// connection that had gone silent was found out only after the 3 s that such an answer may take, and
-/// calls on it that had less time failed.
-const LARGE_SILENCE: Duration = Duration::from_millis(1000);
-/// How long a peer that was silent is passed over; doubled each time.
-const SUSPECT: Duration = Duration::from_millis(1500);
-/// Longest time that a peer is passed over.
-const LONGEST_SUSPECT: Duration = Duration::from_secs(12);
-/// Round trips that a limit leaves for the distance of a peer: one for the call itself, one for what is
-/// lost on the way and sent again.
+/// Timeout for connecting to a peer, without the allowance for its round-trip time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval of pings to a peer in use.
+const PING_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of checks whether an idle connection is still needed.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(5000);
+/// Timeout of a ping, without the allowance for the round-trip time.
+const PING_TIMEOUT: Duration = Duration::from_millis(350);
+/// Longest silence while a large answer is awaited, without the allowance for the round-trip time: preparing
+/// and queueing the answer takes time. It is shorter than the timeout of such an answer, so that other calls on a
+/// silent connection fail early.
+const MAX_LARGE_SILENCE: Duration = Duration::from_millis(1000);
+/// How long a silent peer is suspect for the first time; doubled each time.
+const BASE_SUSPICION: Duration = Duration::from_millis(1500);
+/// Longest time that a peer is suspect.
+const MAX_SUSPICION: Duration = Duration::from_secs(12);
+/// Round trips added to a timeout: one for the call itself, one for the retransmission of lost packets.
 const ROUND_TRIPS: u32 = 2;
-/// Longest distance that counts, as a round trip. What is measured as more was a queue.
-const LONGEST_TRIP: Duration = Duration::from_millis(250);
+/// Longest round-trip time that is added to timeouts. Longer measurements include queueing.
+const MAX_ROUND_TRIP: Duration = Duration::from_millis(250);
 
-/// No answer from a peer.
+/// A peer did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PeerSilent;
 
-/// A connection to a peer, which counts as used until this is dropped.
+/// A connection to a peer that counts as in use until this is dropped.
 pub(crate) struct UsedLink(Link);
 
 impl UsedLink {
@@ -69,7 +69,7 @@
         let now = shared.clock.now();
         let before = link.used.swap(now, Ordering::AcqRel);
         if liveness::has_rested(now, before) {
-            link.roused.notify_one();
+            link.woken.notify_one();
         }
         UsedLink(link)
     }
@@ -92,42 +92,42 @@
 /// A connection to a peer.
 #[derive(Clone)]
 pub(crate) struct Link {
-    /// Calls the peer.
+    /// Client for calls to the peer.
     pub(crate) client: IngressPeersClient,
-    /// Raised when the peer is found to be silent.
+    /// Notified when the peer is found to be silent.
     pub(crate) lost: Arc<Notify>,
-    /// Answers under way that may be large, and hold up others on the same connection.
+    /// Number of awaited answers that may be large, and delay others on the same connection.
     large: Arc<AtomicUsize>,
-    /// Calls under way.
+    /// Number of calls in progress.
     calls: Arc<AtomicUsize>,
-    /// When the last one began, in milliseconds.
+    /// Start of the last call, in milliseconds.
     used: Arc<AtomicU64>,
-    /// Raised when it is used again after a rest.
-    roused: Arc<Notify>,
-    heard: LastHeard,
+    /// Notified when the connection is used again after an idle time.
+    woken: Arc<Notify>,
+    last_received: LastReceived,
 }
 
 impl Link {
-    fn its_use(&self, shared: &IngressShared) -> Use {
+    fn usage(&self, shared: &IngressShared) -> Use {
         Use {
             calls: self.calls.load(Ordering::Acquire),
             used: self.used.load(Ordering::Acquire),
-            // Whoever keeps accounts of limits has to know whom it does not reach.
+            // An owner of rate-limit state has to know which peers are unreachable.
             is_standing: shared.batches.relies_on_owners() || shared.limits.keeps_any(),
         }
     }
 
-    /// Notes that an answer is under way that may be large, until what it returns is dropped.
-    pub(crate) fn expect_large(&self) -> Large {
+    /// Counts an awaited answer that may be large, until the returned guard is dropped.
+    pub(crate) fn expect_large(&self) -> LargeAnswer {
         self.large.fetch_add(1, Ordering::AcqRel);
-        Large(self.large.clone())
+        LargeAnswer(self.large.clone())
     }
 }
 
-/// Counts an answer that may be large, until it is dropped.
-pub(crate) struct Large(Arc<AtomicUsize>);
+/// Guard that counts an awaited large answer.
+pub(crate) struct LargeAnswer(Arc<AtomicUsize>);
 
-impl Drop for Large {
+impl Drop for LargeAnswer {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -139,37 +139,37 @@
     times: u32,
 }
 
-/// The connections of an instance to its peers, by address.
+/// Connections of an instance to its peers, by address.
 #[derive(Default)]
 pub(crate) struct Links {
-    made: Mutex<HashMap<String, Link>>,
-    /// Held while a connection to the peer is made, so that there is one to each.
+    links: Mutex<HashMap<String, Link>>,
+    /// Locked while a connection to the peer is made, so that there is only one.
     connecting: Mutex<HashMap<String, Arc<tokio::sync::Mutex<()>>>>,
     suspects: Mutex<HashMap<String, Suspicion>>,
-    /// Rises whenever a peer becomes suspect, or trusted before its time.
+    /// Incremented when a peer becomes suspect, or is cleared before its suspicion expires.
     suspects_revision: AtomicU64,
-    /// Shortest round trip to each peer.
-    trips: Mutex<HashMap<String, Duration>>,
+    /// Shortest measured round-trip time to each peer.
+    round_trips: Mutex<HashMap<String, Duration>>,
 }
 
 impl Links {
-    /// The connection to a peer; one is made if there is none.
+    /// Returns the connection to a peer, after making one if there is none.
     pub(crate) async fn get(
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
     ) -> Result<UsedLink, PeerSilent> {
-        if let Some(it) = self.found(address) {
+        if let Some(it) = self.existing(address) {
             return Ok(UsedLink::new(shared, it));
         }
-        let one = self.connecting.lock().entry(address.to_owned()).or_default().clone();
-        let has_waited = one.try_lock().is_err();
-        let _one = one.lock().await;
-        if let Some(it) = self.found(address) {
+        let mutex = self.connecting.lock().entry(address.to_owned()).or_default().clone();
+        let has_waited = mutex.try_lock().is_err();
+        let _guard = mutex.lock().await;
+        if let Some(it) = self.existing(address) {
             return Ok(UsedLink::new(shared, it));
         }
         if has_waited && self.is_suspect(address) {
-            // Whoever tried just now has waited for nothing.
+            // The attempt that this call waited for has failed.
             return Err(PeerSilent);
         }
         let link = self.connect(shared, address).await?;
@@ -182,16 +182,16 @@
         address: &str,
     ) -> Result<Link, PeerSilent> {
         let begun = Instant::now();
-        let limit = self.with_distance(address, CONNECT);
+        let limit = self.with_distance(address, CONNECT_TIMEOUT);
         let connected = tokio::time::timeout(limit, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = connected else {
             self.suspect(shared, address, "unreachable");
             return Err(PeerSilent);
         };
-        self.note_trip(address, begun.elapsed());
+        self.record_round_trip(address, begun.elapsed());
         guard(&stream).map_err(|_| PeerSilent)?;
-        let heard = LastHeard::new();
-        let stream = Heard::new(stream, heard.clone());
+        let last_received = LastReceived::new();
+        let stream = MonitoredStream::new(stream, last_received.clone());
         let io = transport(codec().new_framed(stream), Cbor::default());
         let client = IngressPeersClient::new(client::Config::default(), io).spawn();
         let link = Link {
@@ -200,38 +200,38 @@
             large: Arc::default(),
             calls: Arc::default(),
             used: Arc::new(AtomicU64::new(shared.clock.now())),
-            roused: Arc::default(),
-            heard,
+            woken: Arc::default(),
+            last_received,
         };
-        self.made.lock().insert(address.to_owned(), link.clone());
-        tokio::spawn(watch(shared.clone(), address.to_owned(), link.clone()));
+        self.links.lock().insert(address.to_owned(), link.clone());
+        tokio::spawn(monitor(shared.clone(), address.to_owned(), link.clone()));
         Ok(link)
     }
 
-    fn found(&self, address: &str) -> Option<Link> {
-        self.made.lock().get(address).cloned()
+    fn existing(&self, address: &str) -> Option<Link> {
+        self.links.lock().get(address).cloned()
     }
 
-    /// A limit on an answer of a peer, with the distance of the peer added.
+    /// A timeout with the allowance for the peer's round-trip time added.
     pub(crate) fn with_distance(&self, address: &str, limit: Duration) -> Duration {
-        let trips = self.trips.lock();
-        // One that was never reached may be as far away as any.
-        let trip = trips.get(address).or_else(|| trips.values().max());
-        limit + trip.map_or(Duration::ZERO, |it| ROUND_TRIPS * (*it).min(LONGEST_TRIP))
+        let round_trips = self.round_trips.lock();
+        // A peer that was never reached is assumed to be as far away as the farthest.
+        let round_trip = round_trips.get(address).or_else(|| round_trips.values().max());
+        limit + round_trip.map_or(Duration::ZERO, |it| ROUND_TRIPS * (*it).min(MAX_ROUND_TRIP))
     }
 
-    fn note_trip(&self, address: &str, trip: Duration) {
-        let mut trips = self.trips.lock();
-        let shortest = trips.entry(address.to_owned()).or_insert(trip);
-        *shortest = trip.min(*shortest);
+    fn record_round_trip(&self, address: &str, round_trip: Duration) {
+        let mut round_trips = self.round_trips.lock();
+        let shortest = round_trips.entry(address.to_owned()).or_insert(round_trip);
+        *shortest = round_trip.min(*shortest);
     }
 
-    /// Whether a peer was silent of late, and is passed over.
+    /// Whether a peer was recently silent, and should not be used.
     pub(crate) fn is_suspect(&self, address: &str) -> bool {
         self.suspects.lock().get(address).is_some_and(|it| Instant::now() < it.until)
     }
 
-    /// Takes in that a peer was silent on a connection, unless that is no longer the one in use.
+    /// Marks the peer as suspect and drops its connection, unless a newer connection has replaced that.
     pub(crate) fn lose(
         &self,
         shared: &IngressShared,
@@ -239,20 +239,20 @@
         lost: &Arc<Notify>,
         cause: &str,
     ) {
-        let mut made = self.made.lock();
-        if made.get(address).is_some_and(|it| Arc::ptr_eq(&it.lost, lost)) {
-            made.remove(address);
-            drop(made);
+        let mut links = self.links.lock();
+        if links.get(address).is_some_and(|it| Arc::ptr_eq(&it.lost, lost)) {
+            links.remove(address);
+            drop(links);
             self.suspect(shared, address, cause);
         }
         lost.notify_waiters();
     }
 
-    /// Closes a connection that nothing is expected of.
+    /// Closes a connection that is no longer needed.
     fn close(&self, address: &str, link: &Link) {
-        let mut made = self.made.lock();
-        if made.get(address).is_some_and(|it| Arc::ptr_eq(&it.lost, &link.lost)) {
-            made.remove(address);
+        let mut links = self.links.lock();
+        if links.get(address).is_some_and(|it| Arc::ptr_eq(&it.lost, &link.lost)) {
+            links.remove(address);
         }
     }
 
@@ -264,21 +264,22 @@
             return;
         }
         let times = before.map_or(0, |it| it.times + 1);
-        let span = (SUSPECT * 2_u32.pow(times.min(4))).min(LONGEST_SUSPECT);
-        suspects.insert(address.to_owned(), Suspicion { until: now + span, times });
+        let suspicion = (BASE_SUSPICION * 2_u32.pow(times.min(4))).min(MAX_SUSPICION);
+        suspects.insert(address.to_owned(), Suspicion { until: now + suspicion, times });
         self.suspects_revision.fetch_add(1, Ordering::AcqRel);
-        let detail = format!("peer={address} cause={cause} for_ms={}", span.as_millis());
+        let detail = format!("peer={address} cause={cause} for_ms={}", suspicion.as_millis());
         emit(events::PEER_SILENT, &shared.settings.instance, &detail);
     }
 
-    /// Takes in that a peer answers, or has started anew.
+    /// Ends a peer's suspicion, since it answers or has restarted.
     pub(crate) fn trust(&self, address: &str) {
         if self.suspects.lock().remove(address).is_some() {
             self.suspects_revision.fetch_add(1, Ordering::AcqRel);
         }
     }
 
-    /// Revision of who is suspect, which changes by time alone at the moment that comes with it.
+    /// Revision of the set of suspects, and the time at which the next suspicion expires, which changes the set
+    /// without a new revision.
     pub(crate) fn suspects_revision(&self) -> (u64, Option<Instant>) {
         let now = Instant::now();
         let suspects = self.suspects.lock();
@@ -287,37 +288,37 @@
     }
 }
 
-/// Asks a peer again and again whether it is there, as long as something is expected of it, until it is not.
-async fn watch(shared: Arc<IngressShared>, address: String, link: Link) {
+/// Pings a peer while its connection is in use, until the connection is closed or the peer is silent.
+async fn monitor(shared: Arc<IngressShared>, address: String, link: Link) {
     let links = &shared.peers.links;
     loop {
-        match liveness::duty(shared.clock.now(), link.its_use(&shared)) {
-            Duty::Ask => tokio::time::sleep(PING).await,
+        match liveness::duty(shared.clock.now(), link.usage(&shared)) {
+            Duty::Ask => tokio::time::sleep(PING_INTERVAL).await,
             Duty::Rest => {
-                let roused = tokio::time::timeout(REST, link.roused.notified()).await;
-                if roused.is_err() {
+                let woken = tokio::time::timeout(IDLE_CHECK_INTERVAL, link.woken.notified()).await;
+                if woken.is_err() {
                     continue;
                 }
             }
             Duty::Close => return links.close(&address, &link),
         }
-        let silence = links.with_distance(&address, LARGE_SILENCE);
-        if link.large.load(Ordering::Acquire) != 0 && link.heard.silence() < silence {
-            // An answer to a ping would stand behind it.
+        let silence = links.with_distance(&address, MAX_LARGE_SILENCE);
+        if link.large.load(Ordering::Acquire) != 0 && link.last_received.silence() < silence {
+            // The answer to a ping would queue behind the large one.
             continue;
         }
         let known = shared.configuration().version;
         let begun = Instant::now();
-        let limit = links.with_distance(&address, PING_LIMIT);
+        let limit = links.with_distance(&address, PING_TIMEOUT);
         match tokio::time::timeout(limit, check(&shared, &address, &link, limit)).await {
-            Ok(Ok(theirs)) => {
-                links.note_trip(&address, begun.elapsed());
+            Ok(Ok(status)) => {
+                links.record_round_trip(&address, begun.elapsed());
                 links.trust(&address);
                 if !shared.peers.is_far(&address) {
-                    let (times, loads) = (theirs.stage_times, theirs.stage_loads);
+                    let (times, loads) = (status.stage_times, status.stage_loads);
                     shared.take_stage_loads(StageLoads { times, loads });
                 }
-                if known < theirs.version {
+                if known < status.version {
                     drop(tokio::spawn(catch_up(shared.clone(), address.clone())));
                 }
             }
@@ -329,7 +330,7 @@
     }
 }
 
-/// Asks a peer how it stands.
+/// Pings a peer, and returns its configuration version and loads.
 async fn check(
     shared: &IngressShared,
     address: &str,
@@ -347,14 +348,14 @@
     }
 }
 
-/// Context of a call that may take so long.
+/// Context of a call with this timeout.
 pub(crate) fn context_for(limit: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = std::time::Instant::now() + limit;
     context
 }
 
-/// A time in whole milliseconds, at least one.
+/// A duration in whole milliseconds, at least one.
 pub(crate) fn whole_millis(time: Duration) -> Millis {
     (time.as_millis() as Millis).max(1)
 }
