--- a/crates/holdpointd/src/ingress/answer.rs
+++ b/crates/holdpointd/src/ingress/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a target's, passed on, and the system's own.
+//! Answers to callers: forwarded answers of targets, and the system's own.
 
 use std::{convert::Infallible, time::Duration};
 
@@ -10,13 +10,13 @@
 use http_body_util::{BodyExt, Full, StreamBody, combinators::UnsyncBoxBody};
 use hyper::body::Frame;
 
-/// A stream's target has broken off; the caller's connection breaks off too.
+/// A target's answer ended early, so that the caller's connection is closed as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BrokenOff;
 
 impl std::fmt::Display for BrokenOff {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the target's answer ended early")
     }
 }
 
@@ -27,22 +27,22 @@
 /// An answer.
 pub(crate) type Answer = Response<AnswerBody>;
 
-/// Why the system answers by itself.
+/// Failures that the system answers by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// The head lacks what it must have.
+    /// The request is malformed or lacks a required header.
     BadRequest,
     /// The organisation's key is unknown.
     BadKey,
-    /// There is no such route.
+    /// No route matches.
     NoRoute,
     /// The body is longer than allowed.
     TooLarge,
     /// The body took longer than allowed.
     SlowBody,
-    /// It may have run and gave no answer.
+    /// No usable answer; the request may have run.
     Broken,
-    /// The time is over; it may have run.
+    /// The deadline has passed; the request may have run.
     TimeOver,
 }
 
@@ -62,21 +62,21 @@
 
 /// The system's own answer to a failure.
 pub(crate) fn failure(failure: Failure, request_id: Option<&str>) -> Answer {
-    own(failure.status(), headers::own_answer(request_id, None))
+    own_answer(failure.status(), headers::own_answer(request_id, None))
 }
 
-/// A refusal: it takes the proof that the request has not run and never will.
+/// A refusal, which requires proof that the request has not run and never will.
 pub(crate) fn refusal(_proof: NotRun, request_id: Option<&str>, retry_after: Duration) -> Answer {
     let headers = headers::own_answer(request_id, Some(retry_after));
-    own(StatusCode::SERVICE_UNAVAILABLE, headers)
+    own_answer(StatusCode::SERVICE_UNAVAILABLE, headers)
 }
 
-/// An answer with no body, as to the balancer's question.
-pub(crate) fn bare(status: StatusCode) -> Answer {
-    own(status, HeaderMap::new())
+/// An answer without a body, as to a readiness probe.
+pub(crate) fn empty(status: StatusCode) -> Answer {
+    own_answer(status, HeaderMap::new())
 }
 
-/// A target's whole answer.
+/// A target's complete answer, forwarded.
 pub(crate) fn passed_on(head: &http::response::Parts, body: Bytes) -> Answer {
     let mut answer = Response::new(full(body));
     *answer.status_mut() = head.status;
@@ -84,7 +84,7 @@
     answer
 }
 
-/// A target's answer that is passed on as it comes.
+/// A target's answer that is forwarded while it arrives.
 pub(crate) fn streamed(
     head: &http::response::Parts,
     frames: impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> + Send + 'static,
@@ -95,12 +95,12 @@
     answer
 }
 
-/// A text, as of the metrics.
+/// A plain-text answer, as for metrics.
 pub(crate) fn text(text: String) -> Answer {
     Response::new(full(Bytes::from(text)))
 }
 
-fn own(status: StatusCode, headers: HeaderMap) -> Answer {
+fn own_answer(status: StatusCode, headers: HeaderMap) -> Answer {
     let mut answer = Response::new(full(Bytes::new()));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
--- a/crates/holdpointd/src/ingress/attempts.rs
+++ b/crates/holdpointd/src/ingress/attempts.rs
@@ -1,4 +1,4 @@
-//! The sends made for one request: which target each goes to, and whether one more is allowed.
+//! The sends made for one request: the target of each, and whether another one is allowed.
 
 use std::time::Duration;
 
@@ -25,16 +25,16 @@
     metrics::label,
 };
 
-/// When a request may come back whose service has no target that stays, in milliseconds: another one needs
-/// about that long to be listed once it has started, and when one does is not known.
+/// Retry-After of a request whose service has no target, or only draining ones: about the time from the start
+/// of a target until it is listed.
 pub(crate) const NONE_LEFT_RETURN_MS: Millis = 1000;
 
-/// The sends made for one request, within its attempts and the retry budget.
+/// The sends made for one request, bounded by its route's attempts and the retry budget.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     tried: Vec<String>,
     sends: u32,
-    /// The send that is under way, where a version is rolled out.
+    /// The current send, while a version is rolled out.
     running: Option<Running>,
 }
 
@@ -42,104 +42,105 @@
 struct Chosen {
     target: TargetInstance,
     permit: Permit,
-    /// Why, for the log.
+    /// Reason for the choice, for the log.
     reason: String,
 }
 
 /// Why no further send is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum GiveUpCause {
+pub(crate) enum StopCause {
     /// No target is left for this request.
     NoTarget,
-    /// The service has no target that stays.
+    /// The service has no target, or all are draining.
     NoneLeft,
     /// The route's attempts are used up.
     Attempts,
     /// The retry budget is used up.
     Budget,
-    /// The time is over.
+    /// The deadline has passed.
     Time,
-    /// The instance is about to end.
+    /// The instance is shutting down.
     Stopping,
-    /// Every target stands in an evacuated failure domain.
+    /// Every target is in an evacuated failure domain.
     Evacuated,
-    /// Every target is cold and carries no more for now.
+    /// Every target is cold and has reached its present capacity.
     Cold,
-    /// Every target has got what it takes; the request may come back in so many milliseconds.
+    /// Every target has reached its rate limit; the request may be retried after this many milliseconds.
     Limited(Millis),
-    /// Every target has asked this instance to back off; the request may come back in so many milliseconds.
+    /// Every target has asked this instance to back off; the request may be retried after this many
+    /// milliseconds.
     BackingOff(Millis),
     /// No target is in the regions that the request is confined to.
     Confined,
-    /// The request ended its targets.
+    /// The request is quarantined, since targets crashed under it.
     Quarantined,
 }
 
-impl GiveUpCause {
+impl StopCause {
     /// Name in the log.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            GiveUpCause::NoTarget => "no-target",
-            GiveUpCause::NoneLeft => "none-left",
-            GiveUpCause::Attempts => "attempts-used",
-            GiveUpCause::Budget => "retry-budget",
-            GiveUpCause::Time => "time-over",
-            GiveUpCause::Stopping => "stopping",
-            GiveUpCause::Evacuated => "evacuated",
-            GiveUpCause::Cold => "cold",
-            GiveUpCause::Limited(_) => "limited",
-            GiveUpCause::BackingOff(_) => "backoff",
-            GiveUpCause::Confined => "confined",
-            GiveUpCause::Quarantined => "quarantined",
+            StopCause::NoTarget => "no-target",
+            StopCause::NoneLeft => "none-left",
+            StopCause::Attempts => "attempts-used",
+            StopCause::Budget => "retry-budget",
+            StopCause::Time => "time-over",
+            StopCause::Stopping => "stopping",
+            StopCause::Evacuated => "evacuated",
+            StopCause::Cold => "cold",
+            StopCause::Limited(_) => "limited",
+            StopCause::BackingOff(_) => "backoff",
+            StopCause::Confined => "confined",
+            StopCause::Quarantined => "quarantined",
         }
     }
 
-    /// When a request that is refused for it may come back, where that is not known to be later than usual.
-    pub(crate) fn return_after(self, usual: Duration) -> Duration {
+    /// Retry-After of a request that is refused for this cause; `usual` where the cause has no time of its own.
+    pub(crate) fn retry_after(self, usual: Duration) -> Duration {
         match self {
-            GiveUpCause::Limited(ms) | GiveUpCause::BackingOff(ms) => {
+            StopCause::Limited(ms) | StopCause::BackingOff(ms) => {
                 Duration::from_millis(ms).max(usual)
             }
-            GiveUpCause::NoneLeft => Duration::from_millis(NONE_LEFT_RETURN_MS),
+            StopCause::NoneLeft => Duration::from_millis(NONE_LEFT_RETURN_MS),
             _ => usual,
         }
     }
 }
 
 impl Attempts {
-    /// Whether one more send would be within the route's attempts.
+    /// Whether the route's attempts allow another send.
     pub(crate) fn may_repeat(&self, ctx: &Context) -> bool {
         self.sends < ctx.route.attempts
     }
 
     /// Chooses the target of the next send and counts the send. `inputs` are the bytes that the target
-    /// fetches, by the failure domain that they lie in.
+    /// fetches, by the failure domain that stores them.
     pub(crate) async fn next(
         &mut self,
         ctx: &Context,
         inputs: &[(Name, u64)],
-    ) -> Result<(TargetInstance, Permit), GiveUpCause> {
+    ) -> Result<(TargetInstance, Permit), StopCause> {
         if ctx.left().is_zero() {
-            return Err(GiveUpCause::Time);
+            return Err(StopCause::Time);
         }
         if !self.may_repeat(ctx) {
-            return Err(GiveUpCause::Attempts);
+            return Err(StopCause::Attempts);
         }
-        // It may have ended its last target by now: without this look, a request that was admitted goes on to
-        // end the next one.
+        // The request may have been quarantined since its admission. Without this check, one that crashed its
+        // last target would go on to crash the next.
         if ctx.held_for().is_some() {
-            return Err(GiveUpCause::Quarantined);
+            return Err(StopCause::Quarantined);
         }
         self.running = None;
         let Chosen { target, permit, reason } = self.choose_in_lane(ctx, inputs).await?;
         let now = ctx.shared.clock.now();
         if self.sends != 0 && !ctx.pool.spend(now, &ctx.shared.pools.terms()) {
-            return Err(GiveUpCause::Budget);
+            return Err(StopCause::Budget);
         }
         self.sends += 1;
         self.running = Running::begin(ctx, &target);
         ctx.pool.sent(now, &target.id, &ctx.call(&[]));
-        ctx.note_send(&target.id);
+        ctx.record_send(&target.id);
         let moved = Call { inputs, ..ctx.call(&[]) }.moved_bytes(&target.domain);
         let detail = format!(
             "id={} target={} send={} moved_kb={}{} {reason}",
@@ -155,13 +156,13 @@
         Ok((target, permit))
     }
 
-    /// Chooses a target among those of the version that the request may go to. Where none of a version
-    /// that is rolled out can be had, it goes to another version, unless the roll-out is over.
+    /// Chooses a target among those of the version that the roll-out assigns to the request. Where the new
+    /// version has none available, the old version is used.
     async fn choose_in_lane(
         &mut self,
         ctx: &Context,
         inputs: &[(Name, u64)],
-    ) -> Result<Chosen, GiveUpCause> {
+    ) -> Result<Chosen, StopCause> {
         let rollouts = &ctx.shared.rollouts;
         let now = ctx.shared.clock.now();
         let lane = rollouts.lane(now, &ctx.service, &ctx.route.name);
@@ -180,13 +181,9 @@
         chosen.map(|it| Chosen { reason: format!("{} rollout={lane:?}", it.reason), ..it })
     }
 
-    /// Chooses a target, with the reason for the log. Prompts are placed by one instance for all,
-    /// since an engine that reads a long prompt holds up all that run there, whoever sent them.
-    async fn choose(
-        &mut self,
-        ctx: &Context,
-        inputs: &[(Name, u64)],
-    ) -> Result<Chosen, GiveUpCause> {
+    /// Chooses a target, with the reason for the log. One instance places the prompts of a service for all
+    /// instances, since reading a long prompt delays every request on that engine, whoever sent it.
+    async fn choose(&mut self, ctx: &Context, inputs: &[(Name, u64)]) -> Result<Chosen, StopCause> {
         let chosen = self.choose_at_peer(ctx, inputs).await?;
         let place = if chosen.is_some() { "peer" } else { "here" };
         ctx.shared.metrics.placements.add(1, &[label("by", place)]);
@@ -194,9 +191,9 @@
             return Ok(it);
         }
         loop {
-            let decides = ctx.decides();
+            let is_placer = ctx.is_placer();
             let within = ctx.within();
-            let share = ctx.shared.pools.share(decides);
+            let share = ctx.shared.pools.share(is_placer);
             let call = Call { share, inputs, within: within.as_deref(), ..ctx.call(&self.tried) };
             let (policy, region) = (ctx.policy(), ctx.call_region());
             let choosing =
@@ -208,26 +205,26 @@
                     continue;
                 }
                 Err(NoTarget::Limited(ms)) => {
-                    let deciders = if decides { 1 } else { ctx.shared.peers.instance_count() };
-                    let ms = limits::return_ms(&ctx.shared, &ctx.pool, ms, deciders);
-                    return Err(GiveUpCause::Limited(ms));
+                    let placers = if is_placer { 1 } else { ctx.shared.peers.instance_count() };
+                    let ms = limits::return_ms(&ctx.shared, &ctx.pool, ms, placers);
+                    return Err(StopCause::Limited(ms));
                 }
                 Err(NoTarget::BackingOff(ms)) => match backoff::wait(ms, ctx.longest_wait_ms()) {
                     Some(it) => {
                         tokio::time::sleep(it).await;
                         continue;
                     }
-                    None => return Err(GiveUpCause::BackingOff(backoff::return_ms(ms))),
+                    None => return Err(StopCause::BackingOff(backoff::return_ms(ms))),
                 },
                 Err(NoTarget::Cold(ms)) if ctx.may_wait_for(ms) => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
                     continue;
                 }
-                Err(NoTarget::Cold(_)) => return Err(GiveUpCause::Cold),
-                Err(NoTarget::Evacuated) => return Err(GiveUpCause::Evacuated),
-                Err(NoTarget::Confined) => return Err(GiveUpCause::Confined),
-                Err(NoTarget::Empty) => return Err(GiveUpCause::NoneLeft),
-                Err(NoTarget::Tried | NoTarget::Full) => return Err(GiveUpCause::NoTarget),
+                Err(NoTarget::Cold(_)) => return Err(StopCause::Cold),
+                Err(NoTarget::Evacuated) => return Err(StopCause::Evacuated),
+                Err(NoTarget::Confined) => return Err(StopCause::Confined),
+                Err(NoTarget::Empty) => return Err(StopCause::NoneLeft),
+                Err(NoTarget::Tried | NoTarget::Full) => return Err(StopCause::NoTarget),
             };
             if let Some(target) = ctx.open_target(&choice.address) {
                 let reason = format!(
@@ -243,21 +240,22 @@
         }
     }
 
-    /// Has the instance that places the prompts of the service choose; `None` where that is this one, or it
-    /// does not answer.
+    /// Asks the instance that places the service's prompts to choose. `None` where the choice has to be made
+    /// here: this is that instance, or the other one gives no usable answer.
     async fn choose_at_peer(
         &self,
         ctx: &Context,
         inputs: &[(Name, u64)],
-    ) -> Result<Option<Chosen>, GiveUpCause> {
+    ) -> Result<Option<Chosen>, StopCause> {
         let mut ejected = ctx.pool.ejected(ctx.shared.clock.now());
         loop {
             let (within, region) = (ctx.within(), ctx.region());
             let owner = owner_of(&ctx.shared, &region, &ctx.service, &within);
-            let Some((prompt, address)) = self.prompt_ask(ctx, inputs, &ejected).zip(owner) else {
+            let Some((prompt, address)) = self.prompt_request(ctx, inputs, &ejected).zip(owner)
+            else {
                 return Ok(None);
             };
-            let is_free = within.is_none() && prompt.avoided.is_empty();
+            let is_unconstrained = within.is_none() && prompt.avoided.is_empty();
             let limit = limit_for(&ctx.shared, &region, PLACE_LIMIT);
             let peers = &ctx.shared.peers;
             let assignment = if peers.protocol_of(&address) < LIMITS {
@@ -276,32 +274,33 @@
                         limits::ask(&ctx.shared, &target).await
                     };
                     let reason = format!("placed_by={address}");
-                    // Whoever placed it has not heard of its limit yet, and does now.
+                    // A refused permit means that the placing peer did not know the target's limit. The request
+                    // for the permit reports the limit.
                     return Ok(permit.ok().map(|permit| Chosen { target, permit, reason }));
                 }
-                // Better one that has failed of late than none.
+                // An ejected target is better than none.
                 Some(Assignment::Wait(_) | Assignment::Later { .. }) if !ejected.is_empty() => {
                     ejected.clear();
                 }
                 Some(Assignment::Wait(ms)) if ms <= ctx.longest_wait_ms() => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
                 }
-                Some(Assignment::Wait(ms)) => return Err(GiveUpCause::Limited(ms)),
+                Some(Assignment::Wait(ms)) => return Err(StopCause::Limited(ms)),
                 Some(Assignment::Later { soonest_ms, return_ms }) => {
-                    // It may be refused only since it may not go elsewhere.
-                    if is_free {
+                    // A confined prompt, or one that avoids some targets, may be refused for that reason
+                    // alone, which says nothing about other requests.
+                    if is_unconstrained {
                         ctx.pool.refuse_for(ctx.shared.clock.now(), soonest_ms);
                     }
-                    return Err(GiveUpCause::Limited(return_ms));
+                    return Err(StopCause::Limited(return_ms));
                 }
                 Some(Assignment::Nowhere) | None => return Ok(None),
             }
         }
     }
 
-    /// What whoever places prompts has to know of this one, where some targets are left out; `None` where it
-    /// is none.
-    fn prompt_ask(
+    /// The placement request for this prompt, which excludes ejected targets; `None` where there is no prompt.
+    fn prompt_request(
         &self,
         ctx: &Context,
         inputs: &[(Name, u64)],
@@ -309,7 +308,7 @@
     ) -> Option<PromptAsk> {
         let call = ctx.call(&self.tried);
         let mut avoided: Vec<TargetId> = ejected.iter().chain(&self.tried).cloned().collect();
-        // Whoever places it does not know whom they have asked to back off.
+        // The placing peer doesn't know which targets have asked this instance to back off.
         let now = ctx.shared.clock.now();
         let backoffs = ctx.shared.backoffs.lock();
         avoided.extend(backoffs.of_service(now, &ctx.service).map(|it| it.0.clone()));
@@ -326,37 +325,37 @@
         })
     }
 
-    /// Takes back a send that its target has not run.
-    pub(crate) fn take_back(&mut self) {
+    /// Uncounts a send that its target has not run.
+    pub(crate) fn uncount(&mut self) {
         self.sends = self.sends.saturating_sub(1);
     }
 
-    /// Takes back a send of which no byte has left. Without its part of the retry budget, targets that are
-    /// listed for seconds after their end took that from the requests which were to go on elsewhere.
+    /// Uncounts a send of which no byte was sent, and returns its share of the retry budget. Otherwise sends to
+    /// targets that are still listed after they ended would use up the budget of requests that need a retry.
     pub(crate) fn never_sent(&mut self, ctx: &Context) {
-        self.take_back();
+        self.uncount();
         if self.sends != 0 {
             ctx.pool.take_back();
         }
     }
 }
 
-/// Failure domain of the target that a request is likely to go to once its stages are made. An error tells that they
-/// would be made for nothing.
-pub(crate) fn likely_domain(ctx: &Context) -> Result<Name, GiveUpCause> {
+/// Failure domain of the target that the request is likely to go to after its stages; empty where that is
+/// not known. An error means that the stages would run in vain.
+pub(crate) fn likely_domain(ctx: &Context) -> Result<Name, StopCause> {
     let now = ctx.shared.clock.now();
     let (within, region) = (ctx.within(), ctx.call_region());
     let call = Call { within: within.as_deref(), ..ctx.call(&[]) };
     let likely = ctx.pool.choose(now, None, &call, region.as_deref(), &ctx.shared);
     match likely {
-        Err(NoTarget::Empty) => return Err(GiveUpCause::NoneLeft),
-        Err(NoTarget::Evacuated) => return Err(GiveUpCause::Evacuated),
-        Err(NoTarget::Confined) => return Err(GiveUpCause::Confined),
-        // It ends while the stages are made, perhaps.
+        Err(NoTarget::Empty) => return Err(StopCause::NoneLeft),
+        Err(NoTarget::Evacuated) => return Err(StopCause::Evacuated),
+        Err(NoTarget::Confined) => return Err(StopCause::Confined),
+        // A shorter backoff may end while the stages run.
         Err(NoTarget::BackingOff(ms))
             if stages::usual_total_ms(ctx) + ctx.longest_wait_ms() < ms =>
         {
-            return Err(GiveUpCause::BackingOff(backoff::return_ms(ms)));
+            return Err(StopCause::BackingOff(backoff::return_ms(ms)));
         }
         _ => (),
     }
@@ -365,18 +364,18 @@
         _ => ctx.pool.refused_ms(now),
     };
     if ctx.longest_wait_ms() < limited_ms {
-        let deciders = ctx.shared.peers.instance_count();
-        let ms = limits::return_ms(&ctx.shared, &ctx.pool, limited_ms, deciders);
-        return Err(GiveUpCause::Limited(ms));
+        let placers = ctx.shared.peers.instance_count();
+        let ms = limits::return_ms(&ctx.shared, &ctx.pool, limited_ms, placers);
+        return Err(StopCause::Limited(ms));
     }
     let target = likely.ok().and_then(|it| ctx.open_target(&it.address));
     Ok(target.map_or(String::new(), |it| it.domain))
 }
 
-/// Ends a send in the books of its pool, with a line in the log unless it went well.
+/// Records the end of a send in its pool, and logs it unless the send succeeded.
 pub(crate) fn end_send(ctx: &Context, target: &TargetInstance, end: End, cause: &'static str) {
     let is_slow = || ctx.pool.is_slow(ctx.shared.clock.now(), &target.id);
-    // Two of them in a row would take a target out that has only said that it is slow.
+    // Two timeouts in a row would eject a target that has announced that it is slow.
     let end = if cause == "silent" && is_slow() { End::Dropped } else { end };
     ctx.pool.ended(ctx.shared.clock.now(), &target.id, ctx.call(&[]).work, end);
     ctx.shared.rollouts.answered(ctx, target, end, cause);
--- a/crates/holdpointd/src/ingress/connections.rs
+++ b/crates/holdpointd/src/ingress/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to target instances: made when needed, kept for the next request, used with care.
+//! Pool of connections to targets. Idle connections are kept for later requests, as long as the target is
+//! unlikely to close them.
 
 use std::{collections::HashMap, io, time::Duration};
 
@@ -25,41 +26,41 @@
 
 use crate::ingress::gate::Clearance;
 
-/// How long sent bytes may stay unacknowledged before the connection counts as dead.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2500);
-/// How long a connection may rest whose target states no limit.
-const USUAL_REST: Duration = Duration::from_secs(4);
-/// How long before a stated limit a connection is no longer used.
-const REST_MARGIN: Duration = Duration::from_millis(700);
-/// How long a connection may have rested that carries a request which may run only once.
-const CAREFUL_REST: Duration = Duration::from_millis(1500);
-/// Most bytes that the HTTP library reads ahead of an answer: its own bound fills the memory with answers that
-/// nobody reads.
-const READ_BUFFER: usize = 16 << 10;
-/// Connections at rest to one target as long as its service is not known.
-const USUAL_AT_REST: usize = 1;
-
-/// How carefully a connection is chosen.
+/// How long sent bytes may stay unacknowledged before the system closes the connection.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest idle time of a connection whose target states no limit.
+const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+/// Time before a target's stated idle limit at which a connection is no longer used.
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
+/// Longest idle time of a connection for a request that may run only once.
+const SINGLE_RUN_IDLE: Duration = Duration::from_millis(1500);
+/// Read buffer of the HTTP library for one connection. Its default would fill the memory with answers that
+/// callers do not read.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// Most idle connections to one target whose service is not configured.
+const DEFAULT_IDLE_COUNT: usize = 1;
+
+/// Which idle connections a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Care {
-    /// The request may run again if the connection proves to be closing.
-    Usual,
-    /// It may not.
-    Once,
+pub(crate) enum Reuse {
+    /// All: the request may run again if the connection turns out to be closing.
+    Any,
+    /// Only recently used ones: the request may not run again.
+    RecentOnly,
 }
 
 /// How a target can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reach {
-    /// A connection that rests there is open.
+    /// An idle connection to it is open.
     Resting,
-    /// A connection can be made.
+    /// A new connection can be made.
     New,
-    /// Neither.
+    /// Not at all.
     None,
 }
 
-/// A connection in use. Dropping it closes it at once, so that the target stops its work.
+/// A connection in use. Dropping it closes it at once, so that the target cancels its work.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -69,7 +70,7 @@
 }
 
 impl Connection {
-    /// Sends a request; an error that bears it tells that no byte was sent.
+    /// Sends a request. An error that returns the request means that no byte was sent.
     pub(crate) async fn send(
         &mut self,
         _: Clearance,
@@ -88,53 +89,57 @@
 }
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
     limit: Duration,
 }
 
-/// Connections of one instance to all targets.
+/// Connections of an instance to all targets.
 #[derive(Debug)]
 pub(crate) struct Connections {
-    connect: Duration,
-    resting: Mutex<HashMap<TargetId, Vec<Resting>>>,
-    /// Most connections at rest to one target, by service.
-    at_rest: Mutex<HashMap<Name, usize>>,
+    connect_timeout: Duration,
+    idle: Mutex<HashMap<TargetId, Vec<IdleConnection>>>,
+    /// Most idle connections to one target, by service.
+    max_idle: Mutex<HashMap<Name, usize>>,
 }
 
 impl Connections {
-    /// Makes an empty set; making a connection may take `connect`.
-    pub(crate) fn new(connect: Duration) -> Connections {
-        Connections { connect, resting: Mutex::default(), at_rest: Mutex::default() }
+    /// Creates an empty pool; `connect_timeout` is the timeout for making a connection.
+    pub(crate) fn new(connect_timeout: Duration) -> Connections {
+        Connections { connect_timeout, idle: Mutex::default(), max_idle: Mutex::default() }
     }
 
-    /// Takes in how many instances share the connections that targets take.
+    /// Applies a configuration: the idle connections of a service's targets are divided among the instances.
     pub(crate) fn configure(&self, configuration: &Configuration, instances: usize) {
         let services = configuration.services.values();
-        let at_rest = services.map(|it| (it.name.clone(), it.at_rest(instances)));
-        *self.at_rest.lock() = at_rest.collect();
+        let max_idle = services.map(|it| (it.name.clone(), it.at_rest(instances)));
+        *self.max_idle.lock() = max_idle.collect();
     }
 
-    /// Takes a connection at rest or makes one. An error means that nothing was sent.
-    pub(crate) async fn take(&self, target: &TargetInstance, care: Care) -> io::Result<Connection> {
-        if let Some(it) = self.take_resting(&target.id, care) {
+    /// Takes an idle connection or makes a new one. An error means that nothing was sent.
+    pub(crate) async fn take(
+        &self,
+        target: &TargetInstance,
+        reuse: Reuse,
+    ) -> io::Result<Connection> {
+        if let Some(it) = self.take_idle(&target.id, reuse) {
             return Ok(it);
         }
         self.make(target).await
     }
 
     async fn make(&self, target: &TargetInstance) -> io::Result<Connection> {
-        let made = tokio::time::timeout(self.connect, connect(&target.address)).await;
+        let made = tokio::time::timeout(self.connect_timeout, connect(&target.address)).await;
         let (sender, task) = made.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         let (target, service) = (target.id.clone(), target.service.clone());
         Ok(Connection { sender, target, service, task: Some(task) })
     }
 
-    /// How a target can be reached. A connection that is made for it is kept.
+    /// Probes how a target can be reached. A connection made for the probe is kept.
     pub(crate) async fn reach(&self, target: &TargetInstance) -> Reach {
-        let is_open = |it: &Resting| it.connection.sender.is_ready();
-        if self.resting.lock().get(&target.id).is_some_and(|it| it.iter().any(is_open)) {
+        let is_open = |it: &IdleConnection| it.connection.sender.is_ready();
+        if self.idle.lock().get(&target.id).is_some_and(|it| it.iter().any(is_open)) {
             return Reach::Resting;
         }
         match self.make(target).await {
@@ -146,41 +151,42 @@
         }
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Keeps a connection whose answer was read completely.
     pub(crate) fn give_back(&self, connection: Connection, idle_limit: Option<Duration>) {
-        let limit = idle_limit.map_or(USUAL_REST, |it| it.saturating_sub(REST_MARGIN));
+        let limit = idle_limit.map_or(DEFAULT_IDLE, |it| it.saturating_sub(IDLE_MARGIN));
         if limit.is_zero() || connection.sender.is_closed() {
             return;
         }
-        let most = self.at_rest.lock().get(&connection.service).copied().unwrap_or(USUAL_AT_REST);
-        let mut all = self.resting.lock();
-        let resting = all.entry(connection.target.clone()).or_default();
-        resting.push(Resting { connection, since: Instant::now(), limit });
-        if most < resting.len() {
-            resting.remove(0);
+        let max_count =
+            self.max_idle.lock().get(&connection.service).copied().unwrap_or(DEFAULT_IDLE_COUNT);
+        let mut all = self.idle.lock();
+        let idle = all.entry(connection.target.clone()).or_default();
+        idle.push(IdleConnection { connection, since: Instant::now(), limit });
+        if max_count < idle.len() {
+            idle.remove(0);
         }
     }
 
-    /// Closes the connections at rest of all other targets.
+    /// Closes the idle connections to targets that `is_kept` doesn't name.
     pub(crate) fn retain(&self, is_kept: impl Fn(&str) -> bool) {
-        self.resting.lock().retain(|id, _| is_kept(id));
+        self.idle.lock().retain(|id, _| is_kept(id));
     }
 
-    /// Closes the connections that have rested too long.
+    /// Closes the connections that have been idle for too long.
     pub(crate) fn sweep(&self) {
-        let mut all = self.resting.lock();
-        for resting in all.values_mut() {
-            resting.retain(|it| it.is_usable(Care::Usual));
+        let mut all = self.idle.lock();
+        for idle in all.values_mut() {
+            idle.retain(|it| it.is_usable(Reuse::Any));
         }
         all.retain(|_, it| !it.is_empty());
     }
 
-    fn take_resting(&self, target: &str, care: Care) -> Option<Connection> {
-        let mut all = self.resting.lock();
-        let resting = all.get_mut(target)?;
-        // The one that rested least is the least likely to be closing.
-        while let Some(it) = resting.pop() {
-            if it.is_usable(care) {
+    fn take_idle(&self, target: &str, reuse: Reuse) -> Option<Connection> {
+        let mut all = self.idle.lock();
+        let idle = all.get_mut(target)?;
+        // The most recently used one is the least likely to be closing.
+        while let Some(it) = idle.pop() {
+            if it.is_usable(reuse) {
                 return Some(it.connection);
             }
         }
@@ -188,29 +194,30 @@
     }
 }
 
-impl Resting {
-    fn is_usable(&self, care: Care) -> bool {
-        let rested = self.since.elapsed();
-        let limit = match care {
-            Care::Usual => self.limit,
-            Care::Once => self.limit.min(CAREFUL_REST),
+impl IdleConnection {
+    fn is_usable(&self, reuse: Reuse) -> bool {
+        let idle_time = self.since.elapsed();
+        let limit = match reuse {
+            Reuse::Any => self.limit,
+            Reuse::RecentOnly => self.limit.min(SINGLE_RUN_IDLE),
         };
-        rested < limit && self.connection.sender.is_ready()
+        idle_time < limit && self.connection.sender.is_ready()
     }
 }
 
-/// Connects to an address; the connection runs as a task of its own.
+/// Connects to an address; a task of its own drives the connection.
 pub(crate) async fn connect(address: &str) -> io::Result<(SendRequest<Full<Bytes>>, AbortHandle)> {
     let stream = TcpStream::connect(address).await?;
     guard(&stream)?;
-    let making = http1::Builder::new().max_buf_size(READ_BUFFER).handshake(TokioIo::new(stream));
+    let making =
+        http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(TokioIo::new(stream));
     let (sender, connection) = making.await.map_err(io::Error::other)?;
     let task = tokio::spawn(async move { drop(connection.await) });
     Ok((sender, task.abort_handle()))
 }
 
-/// Sets what keeps a connection quick and lets a dead link be noticed.
+/// Sets the socket options for low latency and for the detection of dead links.
 pub(crate) fn guard(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/holdpointd/src/ingress/context.rs
+++ b/crates/holdpointd/src/ingress/context.rs
@@ -1,4 +1,6 @@
-//! One request on its way: what is known of it, the sends made for it, how it ended.
+//! State of one request in flight: its head and route, its deadline, the sends made for it, and how it ended.
+//!
+//! Dropping the context logs the end of the request and records its metrics.
 
 use std::{
     borrow::Cow,
@@ -29,7 +31,7 @@
     ingress::{
         answer::{Answer, Failure, failure, refusal},
         confinement::RequestBounds,
-        connections::Care,
+        connections::Reuse,
         limits,
         pools::Pool,
         regions,
@@ -41,46 +43,46 @@
     shared::Working,
 };
 
-/// Work of a generation before its first token, in tokens read.
-const GENERATION_BASE: f64 = 2000.0;
+/// Fixed part of a generation's work before its first token, in equivalent prompt tokens.
+const GENERATION_BASE_TOKENS: f64 = 2000.0;
 
-/// One request on its way.
+/// A request in flight.
 pub(crate) struct Context {
     pub(crate) shared: Arc<IngressShared>,
     pub(crate) request: CallerRequest,
     pub(crate) head: CallerHead,
     pub(crate) route: Arc<IngressRoute>,
     pub(crate) service: Name,
-    /// Region that is to serve it.
-    home: Name,
-    /// Region that serves it in place of that one.
+    /// Region that serves the request unless it is spilled.
+    home_region: Name,
+    /// Region that the request was spilled to.
     spilled_to: OnceLock<Name>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) organisation: Option<Name>,
     pub(crate) rank: u32,
-    /// What binds it to regions.
+    /// Regions that the request is confined to.
     pub(crate) bounds: RequestBounds,
     pub(crate) version: Version,
     pub(crate) arrived: Instant,
-    /// How long before that its caller has likely asked for the first time.
+    /// Estimated time between the caller's first attempt and this request.
     pub(crate) asked_before: Duration,
-    /// When the request gets its final answer at the latest.
-    pub(crate) until: Instant,
+    /// Deadline for the final answer.
+    pub(crate) deadline: Instant,
     pub(crate) ledger: Ledger,
     fingerprint: OnceLock<Fingerprint>,
-    /// Whether work was done for it.
+    /// Whether stage results were produced for the request.
     has_begun: AtomicBool,
-    /// Whether it was admitted as one that will be late.
+    /// Whether the request was admitted although it will be late.
     is_late: AtomicBool,
-    /// Arm of the trial that it falls to, if there is one on its route.
+    /// Arm of the route's trial that the request is assigned to, if there is a trial.
     pub(crate) arm: Option<ChosenArm>,
-    end: Mutex<EndLine>,
-    _working: Working,
+    end: Mutex<EndRecord>,
+    _in_flight: Working,
 }
 
-/// What the line at the end of a request says.
+/// Data of the event that is logged at the end of a request.
 #[derive(Clone, Debug, Default)]
-struct EndLine {
+struct EndRecord {
     status: u16,
     cause: &'static str,
     target: String,
@@ -91,8 +93,8 @@
     longest_gap_ms: u64,
 }
 
-/// The parts that a context is made of.
-pub(crate) struct Parts {
+/// Arguments of [`Context::new`].
+pub(crate) struct ContextParts {
     pub(crate) request: CallerRequest,
     pub(crate) head: CallerHead,
     pub(crate) route: Arc<IngressRoute>,
@@ -106,13 +108,14 @@
 }
 
 impl Context {
-    /// Makes the context of a request that was read and found to be allowed.
-    pub(crate) fn new(shared: Arc<IngressShared>, parts: Parts) -> Context {
+    /// Creates the context of a request that was read and matched to a route.
+    pub(crate) fn new(shared: Arc<IngressShared>, parts: ContextParts) -> Context {
         let limit = parts.route.time_limit(parts.head.patience);
         let asked_before = asked_before(&shared, &parts);
         let pool = shared.pools.of(shared.clock.now(), &parts.service);
         pool.request(shared.clock.now(), &shared.pools.terms());
-        let home = regions::home(&shared, &parts.route, &parts.service, parts.bounds.at_arrival());
+        let home_region =
+            regions::home(&shared, &parts.route, &parts.service, parts.bounds.at_arrival());
         let arm = shared.experiments.now().arm_for(&parts.route.name, &parts.request.id);
         Context {
             shared,
@@ -120,7 +123,7 @@
             head: parts.head,
             route: parts.route,
             service: parts.service,
-            home,
+            home_region,
             spilled_to: OnceLock::new(),
             pool,
             organisation: parts.organisation,
@@ -129,29 +132,29 @@
             version: parts.version,
             arrived: parts.arrived,
             asked_before,
-            until: parts.arrived + limit,
+            deadline: parts.arrived + limit,
             ledger: Ledger::new(),
             fingerprint: OnceLock::new(),
             has_begun: AtomicBool::new(false),
             is_late: AtomicBool::new(false),
             arm,
             end: Mutex::default(),
-            _working: parts.working,
+            _in_flight: parts.working,
         }
     }
 
     /// Time left until the final answer is due.
     pub(crate) fn left(&self) -> Duration {
-        left(self.until)
+        left(self.deadline)
     }
 
     /// Waits until the final answer is due.
-    pub(crate) async fn time_over(&self) {
-        self.shared.wait_until(self.until).await;
+    pub(crate) async fn deadline_passed(&self) {
+        self.shared.wait_until(self.deadline).await;
     }
 
-    /// Time left until the answer must have begun: callers leave a stream that stays silent before its
-    /// time is over.
+    /// Time left until the answer must begin: callers abandon a stream that stays silent for too long, before
+    /// its deadline.
     pub(crate) fn left_to_begin(&self) -> Duration {
         match self.route.shape {
             Shape::Events { silence_ms, .. } if !self.has_answered() => {
@@ -165,12 +168,12 @@
         self.end.lock().first_ms != 0
     }
 
-    /// Time within which an answer earns its full worth.
+    /// Time within which an answer has its full value.
     pub(crate) fn target_time(&self) -> Duration {
         Duration::from_millis(self.route.target_ms)
     }
 
-    /// Time left until the answer is late.
+    /// Time left of the target time, counted from the caller's first attempt.
     pub(crate) fn left_of_target(&self) -> Duration {
         self.target_time().saturating_sub(self.arrived.elapsed() + self.asked_before)
     }
@@ -180,8 +183,8 @@
         self.route.repeat == Repeat::Free
     }
 
-    /// What it has in common with requests that ask for the same. Hashed on first use: most requests
-    /// end without it.
+    /// Hash of the organisation, method, host, path and body. Computed on first use, since most requests don't
+    /// need it.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let request = &self.request;
@@ -193,39 +196,39 @@
         })
     }
 
-    /// Notes that results of a stage were made for it.
+    /// Records that stage results were produced for the request.
     pub(crate) fn begin_stages(&self) {
         self.has_begun.store(true, Ordering::Release);
     }
 
-    /// Whether work was done for it, which a refusal would throw away.
+    /// Whether work was done for the request, which a refusal would discard.
     pub(crate) fn has_begun(&self) -> bool {
         self.has_begun.load(Ordering::Acquire) || self.was_sent()
     }
 
-    /// Accepts that it will be late.
+    /// Marks the request as admitted although it will be late.
     pub(crate) fn accept_late(&self) {
         self.is_late.store(true, Ordering::Release);
     }
 
-    /// Whether it was admitted as one that will be late.
+    /// Whether the request was admitted although it will be late.
     pub(crate) fn is_late(&self) -> bool {
         self.is_late.load(Ordering::Acquire)
     }
 
-    /// Policy of its trial's arm; none where the built-in one routes it.
+    /// Routing policy of the request's trial arm; `None` for the built-in policy.
     pub(crate) fn policy(&self) -> Option<Arc<Policy>> {
         let arm = self.arm.as_ref()?;
         self.shared.experiments.now().policy(&arm.policy)
     }
 
-    /// How carefully connections are chosen for it.
-    pub(crate) fn care(&self) -> Care {
-        if self.is_repeatable() { Care::Usual } else { Care::Once }
+    /// Which idle connections may carry the request.
+    pub(crate) fn reuse(&self) -> Reuse {
+        if self.is_repeatable() { Reuse::Any } else { Reuse::RecentOnly }
     }
 
-    /// What the system adds to the request for a target.
-    pub(crate) fn added<'a>(
+    /// Headers that the system adds to the request for a target.
+    pub(crate) fn added_headers<'a>(
         &'a self,
         target: &'a TargetInstance,
         last_event: Option<&'a str>,
@@ -242,12 +245,15 @@
         }
     }
 
-    /// The request as routing sees it.
+    /// The request's description for the choice of a target.
     pub(crate) fn call<'a>(&self, tried: &'a [String]) -> Call<'a> {
         let prompt = &self.head.prompt;
         let is_generation = !prompt.parts.is_empty();
-        let work =
-            if is_generation { GENERATION_BASE + f64::from(prompt.tokens_to_read()) } else { 1.0 };
+        let work = if is_generation {
+            GENERATION_BASE_TOKENS + f64::from(prompt.tokens_to_read())
+        } else {
+            1.0
+        };
         Call {
             work,
             prefix_work: f64::from(prompt.shared_tokens()),
@@ -261,78 +267,77 @@
         }
     }
 
-    /// Has another region serve it. No work was done for it yet.
+    /// Moves the request to another region, before any work is done for it.
     pub(crate) fn spill_to(&self, region: Name) {
-        // Whoever spills has looked that it was not spilled before.
+        // A request is spilled only once; the spill checks that first.
         drop(self.spilled_to.set(region));
     }
 
-    /// Whether another region serves it than was to.
+    /// Whether the request was moved to another region.
     pub(crate) fn is_spilled(&self) -> bool {
         self.spilled_to.get().is_some()
     }
 
-    /// Region that its target is chosen in; any, by its distance, where there are neither results of
-    /// stages nor a prompt.
+    /// Region that the target is chosen in. `None` allows any region, weighted by distance, for requests with
+    /// neither stages nor a prompt.
     pub(crate) fn call_region(&self) -> Option<Cow<'_, str>> {
         let is_bound = !self.route.stages.is_empty() || self.head.prompt.affinity().is_some();
         is_bound.then(|| self.region())
     }
 
-    /// Region whose targets make its stages and read its prompt; another one than at its arrival once
-    /// it has gone there, or is confined otherwise.
+    /// Region whose targets run the stages and read the prompt: the one that the request was spilled to, otherwise
+    /// its home region. If the confinement has changed since arrival, the home region is determined again.
     pub(crate) fn region(&self) -> Cow<'_, str> {
         let within = self.within();
         if within == *self.bounds.at_arrival() {
-            return Cow::Borrowed(self.spilled_to.get().unwrap_or(&self.home));
+            return Cow::Borrowed(self.spilled_to.get().unwrap_or(&self.home_region));
         }
         Cow::Owned(regions::home(&self.shared, &self.route, &self.service, &within))
     }
 
-    /// Whether this instance places the prompts of the service for all.
-    pub(crate) fn decides(&self) -> bool {
+    /// Whether this instance places the service's prompts for all instances.
+    pub(crate) fn is_placer(&self) -> bool {
         let region = self.region();
         let owner = || regions::owner_of(&self.shared, &region, &self.service, &self.within());
         self.head.prompt.affinity().is_some() && owner().is_none()
     }
 
-    /// Whether it may still be served in time after a wait for a target that carries one more.
+    /// Whether a wait of this many milliseconds ends within the target time and the deadline.
     pub(crate) fn may_wait_for(&self, ms: Millis) -> bool {
         let waited = self.arrived.elapsed() + self.asked_before + Duration::from_millis(ms);
         waited < self.target_time() && waited < self.left()
     }
 
-    /// How long it may wait until a target takes one more, in milliseconds. What has work done for it waits
-    /// although it will be late: a refusal would throw that away.
+    /// Longest wait for a target with free capacity, in milliseconds. A request that work was done for may wait
+    /// beyond its target time, since a refusal would discard that work.
     pub(crate) fn longest_wait_ms(&self) -> Millis {
         let left = if self.has_begun() { self.left() } else { self.left_of_target() };
         left.min(self.left()).min(limits::LONGEST_WAIT).as_millis() as Millis
     }
 
-    /// Notes how long the stages took.
+    /// Records the time that the stages took.
     pub(crate) fn note_stages(&self, begun: Instant) {
         self.end.lock().stages_ms = begun.elapsed().as_millis() as u64;
     }
 
-    /// Whether it was sent to a target already.
+    /// Whether the request was sent to a target.
     pub(crate) fn was_sent(&self) -> bool {
         self.end.lock().sends != 0
     }
 
-    /// Notes that a target began to answer.
-    pub(crate) fn note_first(&self) {
+    /// Records the time at which the answer began.
+    pub(crate) fn record_first_byte(&self) {
         self.end.lock().first_ms = self.arrived.elapsed().as_millis() as u64;
     }
 
-    /// Time from a send to the first event that so many of a hundred streams of the route keep, in
-    /// milliseconds; `None` where too few were measured.
+    /// Percentile of the route's time from send to first event, in milliseconds; `None` with too few samples.
     pub(crate) fn first_event_ms(&self, percent: u32) -> Option<Millis> {
         let times = self.shared.first_times.of(&self.route.name, Default::default);
         times.lock().quantile(f64::from(percent) / 100.0)
     }
 
-    /// Takes in the time from a send to the first event.
-    pub(crate) fn first_event_took(&self, ms: Millis) {
+    /// Records the time from a send to the first event.
+    pub(crate) fn record_first_event(&self, ms: Millis) {
         if let Some(predicted) = self.first_event_ms(50) {
             self.shared.metrics.predicted("first event", "any", predicted as f64, ms as f64);
         }
@@ -340,21 +345,21 @@
         times.lock().record(self.shared.clock.now(), ms);
     }
 
-    /// Notes a pause between two events that were passed on.
-    pub(crate) fn note_gap(&self, gap: Duration) {
+    /// Records a pause between two events of a target's stream.
+    pub(crate) fn record_gap(&self, gap: Duration) {
         let mut end = self.end.lock();
         end.longest_gap_ms = end.longest_gap_ms.max(gap.as_millis() as u64);
     }
 
-    /// Notes how the request ends; the last note counts.
-    pub(crate) fn note_end(&self, status: u16, cause: &'static str) {
+    /// Records how the request ends; the last call counts.
+    pub(crate) fn record_end(&self, status: u16, cause: &'static str) {
         let mut end = self.end.lock();
         end.status = status;
         end.cause = cause;
     }
 
-    /// The system's own final answer: a refusal where nothing has run, else a failure. A request that is
-    /// held may come back once it is not.
+    /// The system's own final answer: a refusal if nothing has run, otherwise a failure. Retry-After of a
+    /// quarantined request is the rest of its quarantine.
     pub(crate) fn give_up(&self, cause: &'static str, retry_after: Duration) -> Answer {
         let retry_after = self.held_for().unwrap_or(retry_after);
         let id = Some(self.request.id.as_str());
@@ -363,13 +368,13 @@
             Err(_) if self.left().is_zero() => failure(Failure::TimeOver, id),
             Err(_) => failure(Failure::Broken, id),
         };
-        self.note_end(answer.status().as_u16(), cause);
+        self.record_end(answer.status().as_u16(), cause);
         answer
     }
 
-    /// Counts the request for its trial's arm: whether it was answered whole and in time, and what
-    /// it cost in milliseconds, its stages and its target apart.
-    fn count_for_arm(&self, arm: &ChosenArm, end: &EndLine, ms: u64) {
+    /// Updates the metrics of the request's trial arm: whether it was answered within the target time, and the
+    /// milliseconds spent in its stages and at its target.
+    fn count_for_arm(&self, arm: &ChosenArm, end: &EndRecord, ms: u64) {
         let first = if end.first_ms == 0 { ms } else { end.first_ms };
         let attained = end.cause == "answered" && first <= self.route.target_ms;
         let of_arm = || {
@@ -386,8 +391,8 @@
         }
     }
 
-    /// Notes why the answer is passed on no further; returns the cause for the log.
-    pub(crate) fn note_not_passed(&self, why: NotPassed) -> &'static str {
+    /// Returns the logged cause of an answer whose delivery stopped, and logs it if the caller did not read.
+    pub(crate) fn record_undelivered(&self, why: NotPassed) -> &'static str {
         let NotPassed::Unread { kept, is_full } = why else { return "caller-gone" };
         let detail = format!(
             "id={} route={} kept={kept} bound={} of_instance={}",
@@ -401,8 +406,8 @@
         "unread"
     }
 
-    /// Notes a send to a target.
-    pub(crate) fn note_send(&self, target: &str) {
+    /// Records a send to a target.
+    pub(crate) fn record_send(&self, target: &str) {
         let mut end = self.end.lock();
         target.clone_into(&mut end.target);
         end.sends += 1;
@@ -415,9 +420,9 @@
     }
 }
 
-/// How long ago the caller of a request has likely asked for the first time. Service is counted from
-/// there, and the patience that a caller brings shrinks by as much.
-fn asked_before(shared: &IngressShared, parts: &Parts) -> Duration {
+/// Estimates the time since the caller's first attempt, from which the target time counts. The deadline that
+/// a caller states for a retry is shorter by this time.
+fn asked_before(shared: &IngressShared, parts: &ContextParts) -> Duration {
     let Some(patience) = parts.head.patience else { return Duration::ZERO };
     let patiences = shared.patiences.of(&parts.route.name, Default::default);
     let mut patiences = patiences.lock();
--- a/crates/holdpointd/src/ingress/front.rs
+++ b/crates/holdpointd/src/ingress/front.rs
@@ -1,4 +1,6 @@
-//! Listeners: callers, the balancer's question, metrics.
+//! Listeners of an instance: caller requests, readiness probes of the balancer, and metrics.
+//!
+//! Each accepted connection is served by a task of its own.
 
 use std::{convert::Infallible, future::Future, sync::Arc, time::Duration};
 
@@ -10,7 +12,7 @@
 
 use crate::{
     ingress::{
-        answer::{Answer, bare, text},
+        answer::{Answer, empty, text},
         connections::guard,
         request,
         shared::IngressShared,
@@ -18,25 +20,25 @@
     shared::raised,
 };
 
-/// Smallest buffer that the HTTP library takes for a head, in bytes.
-const LEAST_BUFFER: usize = 8 << 10;
-/// Bytes that the system may hold for a caller that does not read them: left to itself, it takes up to 4 MB for
-/// each, which a target sees as read.
-const SEND_BUFFER: usize = 64 << 10;
-/// Pause after a failed accept, as when descriptors have run out.
+/// Smallest read buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
+/// Kernel send buffer of a caller's connection. The system's default grows to megabytes, and a target sees
+/// bytes buffered there as read.
+const SEND_BUFFER_BYTES: usize = 64 << 10;
+/// Pause after a failed accept, for example when file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Serves callers until the task is dropped.
 ///
-/// Once connections are to be closed, none is accepted any more: a request that came so late would
-/// be cut off by the end of the process, while a closed port sends its caller elsewhere at once.
+/// No connection is accepted once connections are being closed: the end of the process would cut its requests
+/// off, while a closed port makes callers use another instance at once.
 pub(crate) async fn callers(shared: Arc<IngressShared>, listener: TcpListener) {
     let mut closing = shared.closing.subscribe();
     let accepting = accept(listener, |stream| {
         let shared = shared.clone();
         async move {
-            let each = shared.clone();
-            let service = service_fn(move |it| request::serve(each.clone(), it));
+            let state = shared.clone();
+            let service = service_fn(move |it| request::serve(state.clone(), it));
             serve_connection(&shared, stream, service).await;
         }
     });
@@ -46,27 +48,27 @@
     }
 }
 
-/// Answers the balancer's question whether this instance is ready.
+/// Answers the balancer's readiness probes.
 pub(crate) async fn readiness(shared: Arc<IngressShared>, listener: TcpListener) {
     accept(listener, |stream| {
         let shared = shared.clone();
         async move {
-            let each = shared.clone();
-            let service = service_fn(move |it| std::future::ready(ready(&each, &it)));
+            let state = shared.clone();
+            let service = service_fn(move |it| std::future::ready(probe_answer(&state, &it)));
             serve_connection(&shared, stream, service).await;
         }
     })
     .await;
 }
 
-/// Shows the metrics.
+/// Serves the metrics as text.
 pub(crate) async fn metrics(shared: Arc<IngressShared>, listener: TcpListener) {
     accept(listener, |stream| {
         let shared = shared.clone();
         async move {
-            let each = shared.clone();
+            let state = shared.clone();
             let service = service_fn(move |_| {
-                std::future::ready(Ok::<_, Infallible>(text(each.metrics.text())))
+                std::future::ready(Ok::<_, Infallible>(text(state.metrics.text())))
             });
             serve_connection(&shared, stream, service).await;
         }
@@ -74,7 +76,7 @@
     .await;
 }
 
-fn ready(shared: &IngressShared, request: &Request<Incoming>) -> Result<Answer, Infallible> {
+fn probe_answer(shared: &IngressShared, request: &Request<Incoming>) -> Result<Answer, Infallible> {
     let status = if request.uri().path() != holdpoint_adapter::READY_PATH {
         StatusCode::NOT_FOUND
     } else if shared.is_ready() {
@@ -82,7 +84,7 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    Ok(bare(status))
+    Ok(empty(status))
 }
 
 async fn accept<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
@@ -104,15 +106,15 @@
     if guard(&stream).is_err() {
         return;
     }
-    // Where it cannot be set, the usual bound holds.
-    let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER);
+    // On failure the system's default size applies.
+    let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
     let limits = shared.configuration().limits;
     let mut closing = shared.closing.subscribe();
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .auto_date_header(false)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
-        // The library counts the rest between two requests to the time of the next head.
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
+        // The library's header timeout includes the idle time between two requests.
         .header_read_timeout(Duration::from_millis(limits.idle_ms))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
@@ -121,6 +123,6 @@
         () = raised(&mut closing) => (),
     }
     connection.as_mut().graceful_shutdown();
-    // A connection that ends with an error has no one to tell.
+    // An error at shutdown needs no handling.
     drop(connection.await);
 }
--- a/crates/holdpointd/src/ingress/gate.rs
+++ b/crates/holdpointd/src/ingress/gate.rs
@@ -1,9 +1,9 @@
-//! The gate that whatever is sent to a target passes last, and the one place that takes in what its answer says
-//! of the target.
+//! The last check before anything is sent to a target, and the place where a target's notices in its answers
+//! are applied.
 //!
 //! A target is chosen well before the first byte is sent: a connection has to be made, a batch waits for its turn,
-//! a prompt is placed by a peer. What was heard of the target meanwhile counts here. A connection sends nothing
-//! without a [`Clearance`], which only [`exchange`] can make, so no kind of send can leave out either part.
+//! a peer places a prompt. The gate checks the target against its state at the time of the send. A connection
+//! sends only with a [`Clearance`], which only [`exchange`] creates, so no send can skip the check or the notices.
 
 use holdpoint_adapter::headers::{self, TargetHead};
 use holdpoint_core::{
@@ -28,7 +28,7 @@
     metrics::label,
 };
 
-/// The right to send one request on a connection at this moment.
+/// Permission to send one request on a connection now.
 #[derive(Debug)]
 pub(crate) struct Clearance(());
 
@@ -37,25 +37,25 @@
 pub(crate) enum Payload<'a> {
     /// A caller's request.
     Request {
-        /// Its id, which its answer bears.
+        /// Its id, which its answer has to repeat.
         id: &'a str,
-        /// What its target must be within.
+        /// Regions that its target must be in.
         within: &'a Within,
     },
-    /// A call that makes pieces.
+    /// A call with work items of a stage.
     Pieces,
-    /// A call that gives results up.
+    /// A call that releases stage results.
     Release,
 }
 
 /// Why nothing may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Barred {
-    /// It is leaving or gone, or its failure domain or version gets no work.
+    /// The target is draining or gone, or its failure domain or version gets no work.
     Closed,
-    /// It has named a limit since the send was let through.
+    /// The target has named a rate limit since the permit was given.
     Limited,
-    /// It has asked this instance to back off.
+    /// The target has asked this instance to back off.
     BackingOff,
 }
 
@@ -70,36 +70,37 @@
     }
 }
 
-/// Why there is no head of an answer.
+/// Why an exchange returned no answer head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoHead {
-    /// No byte was sent, since none may be.
-    Barred(Barred),
-    /// No byte was sent, since the connection was lost.
+pub(crate) enum ExchangeError {
+    /// The gate refused the send.
+    Blocked(Barred),
+    /// The connection was lost before the first byte was sent.
     NotSent,
     /// The connection broke off.
     Broken,
-    /// An answer to another request came.
+    /// The answer belongs to another request.
     Crossed,
 }
 
-/// Sends a request on a connection to its target, if it may still be sent, and waits for the head of its answer.
+/// Sends a request on a connection to its target, if the gate allows it, and waits for the head of the answer.
 pub(crate) async fn exchange(
     shared: &IngressShared,
     connection: &mut Connection,
     (target, permit): (&TargetInstance, &Permit),
     payload: Payload<'_>,
     request: Request<Full<Bytes>>,
-) -> Result<(TargetHead, Response<Incoming>), NoHead> {
-    let clearance = clear(shared, target, permit, payload).map_err(NoHead::Barred)?;
+) -> Result<(TargetHead, Response<Incoming>), ExchangeError> {
+    let clearance =
+        grant_clearance(shared, target, permit, payload).map_err(ExchangeError::Blocked)?;
     let sent = shared.clock.now();
     let response = connection.send(clearance, request).await.map_err(|it| match it.message() {
-        Some(_) => NoHead::NotSent,
-        None => NoHead::Broken,
+        Some(_) => ExchangeError::NotSent,
+        None => ExchangeError::Broken,
     })?;
     let head = headers::read_target(response.status(), response.headers());
     if head.is_misdirected {
-        // Another target has the address now, and speaks for itself only.
+        // Another target has this address now, and its notices say nothing about the one that was meant.
         shared.target_leaves(&Departure::of(target), "misdirected");
         return Ok((head, response));
     }
@@ -107,14 +108,14 @@
         && head.request_id.as_deref() != Some(id)
     {
         shared.metrics.crossed.add(1, &[]);
-        return Err(NoHead::Crossed);
+        return Err(ExchangeError::Crossed);
     }
-    observe(shared, target, &head.notice, payload, sent);
+    apply_notices(shared, target, &head.notice, payload, sent);
     Ok((head, response))
 }
 
-/// Whether something may be sent to a target at this moment.
-fn clear(
+/// Checks whether a payload may be sent to a target now.
+fn grant_clearance(
     shared: &IngressShared,
     target: &TargetInstance,
     permit: &Permit,
@@ -126,7 +127,7 @@
             shared.open_target(&target.id).is_some_and(is_allowed)
         }
         Payload::Pieces => shared.open_target(&target.id).is_some(),
-        // Its results need no room any more.
+        // The results of a draining target need no release.
         Payload::Release => shared.target(&target.id).is_some_and(|it| !it.is_leaving),
     };
     if !is_open {
@@ -141,8 +142,8 @@
     Ok(Clearance(()))
 }
 
-/// Takes in what an answer says of its target, to a request that was sent at a time.
-fn observe(
+/// Applies the notices in a target's answer to a request that was sent at `sent`.
+fn apply_notices(
     shared: &IngressShared,
     target: &TargetInstance,
     notice: &Notice,
@@ -174,7 +175,7 @@
         Backoff::None => (),
         Backoff::For(ms) => {
             let its = (target.id.as_str(), target.service.as_str());
-            // Counted from the arrival of the answer, it is never too short.
+            // Counted from the arrival of the answer, the backoff is never too short.
             let longer = shared.backoffs.lock().request(shared.clock.now(), its, target.born, *ms);
             if let Some(left) = longer {
                 let detail = format!("target={} asked_ms={ms} backoff_ms={left}", target.id);
--- a/crates/holdpointd/src/ingress/held.rs
+++ b/crates/holdpointd/src/ingress/held.rs
@@ -1,4 +1,6 @@
-//! Results of stages that are held for a request until it needs them no longer.
+//! Stage results that targets store for a request until it no longer needs them.
+//!
+//! Dropping the set releases the results.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -10,28 +12,28 @@
 
 use crate::ingress::{context::Context, shared::IngressShared};
 
-/// Results held for a request. Dropping them gives them up.
+/// Results stored for a request. Dropping them releases them.
 pub(crate) struct Held {
     shared: Arc<IngressShared>,
-    /// What the request is confined to, which tells who keeps account of the results.
+    /// Regions that the request was confined to when the results were last checked against them.
     within: Within,
     /// Services by handle.
     handles: HashMap<String, Name>,
 }
 
 impl Held {
-    /// Holds nothing yet for a request.
+    /// Creates an empty set for a request.
     pub(crate) fn new(ctx: &Context) -> Held {
         Held { shared: ctx.shared.clone(), within: ctx.within(), handles: HashMap::new() }
     }
 
-    /// Holds results of a service.
+    /// Adds results of a service.
     pub(crate) fn keep(&mut self, service: &str, handles: &[String]) {
         self.handles.extend(handles.iter().map(|it| (it.clone(), service.to_owned())));
     }
 
-    /// Takes in the request's bounds, and gives up the results that are kept outside of them; returns
-    /// their handles.
+    /// Applies new bounds of the request: releases the results stored outside of them, and returns their
+    /// handles.
     pub(crate) fn confine(&mut self, within: &Within) -> Vec<String> {
         if self.within == *within {
             return Vec::new();
@@ -47,17 +49,17 @@
         outside
     }
 
-    /// Forgets results that whoever made pieces from them has given up.
+    /// Removes results that were already released by the call that consumed them.
     pub(crate) fn forget(&mut self, handles: &[String]) {
         handles.iter().for_each(|it| drop(self.handles.remove(it)));
     }
 
-    /// Whether results are there and were not given up.
+    /// Whether all of these results are stored and not released.
     pub(crate) fn has(&self, handles: &[String]) -> bool {
         handles.iter().all(|it| self.handles.contains_key(it))
     }
 
-    /// Gives results up.
+    /// Releases results.
     pub(crate) fn release(&mut self, handles: &[String]) {
         for handle in handles {
             if let Some(service) = self.handles.remove(handle) {
@@ -79,24 +81,24 @@
 pub(crate) struct Results {
     /// Handles for the request's own service.
     pub(crate) inputs: Vec<String>,
-    /// Their bytes by the failure domain that they lie in.
-    pub(crate) places: Vec<(Name, u64)>,
-    /// Keeps them until they are no longer needed.
+    /// Their bytes by the failure domain that stores them.
+    pub(crate) domain_bytes: Vec<(Name, u64)>,
+    /// Releases them when dropped.
     held: Held,
 }
 
 impl Results {
-    /// Makes results of handles, and of what holds them.
-    pub(crate) fn new(inputs: Vec<String>, places: Vec<(Name, u64)>, held: Held) -> Results {
-        Results { inputs, places, held }
+    /// Creates the results from their handles, their sizes by failure domain, and the set that stores them.
+    pub(crate) fn new(inputs: Vec<String>, domain_bytes: Vec<(Name, u64)>, held: Held) -> Results {
+        Results { inputs, domain_bytes, held }
     }
 
-    /// Whether the request is confined as it was when the results were made.
-    pub(crate) fn are_within(&self, within: &Within) -> bool {
+    /// Whether the request's bounds are those that the results were made under.
+    pub(crate) fn match_bounds(&self, within: &Within) -> bool {
         self.inputs.is_empty() || self.held.within == *within
     }
 
-    /// Gives the results up. A target that asks for them later declines, and they are made anew.
+    /// Releases the results. A target that fetches them later declines the request, and the stages run again.
     pub(crate) fn release(&mut self) {
         self.held.release(&self.inputs);
     }
--- a/crates/holdpointd/src/ingress/request.rs
+++ b/crates/holdpointd/src/ingress/request.rs
@@ -1,4 +1,5 @@
-//! A caller's request, from its first byte to the path that serves it.
+//! Receives a caller's request: reads its body, finds its route, and passes it to the whole-body or the
+//! streaming path.
 
 use std::{
     convert::Infallible,
@@ -23,7 +24,7 @@
         answer::{Answer, Failure, failure, refusal},
         confinement::RequestBounds,
         confirm::confirm,
-        context::{Context, Parts},
+        context::{Context, ContextParts},
         send::CallerRequest,
         shared::IngressShared,
         stream, whole,
@@ -31,8 +32,8 @@
     shared::Working,
 };
 
-/// When a request may come back that found no configuration.
-const NOT_CONFIGURED: Duration = Duration::from_millis(500);
+/// Retry-After of a request that the known configuration doesn't allow, while a newer one may exist.
+const UNCONFIGURED_RETRY: Duration = Duration::from_millis(500);
 
 /// Serves a request.
 pub(crate) async fn serve(
@@ -54,7 +55,7 @@
     Ok(answer)
 }
 
-/// Reads a request and finds its route; an error is the answer to it.
+/// Reads a request and finds its route. An error is the final answer to the request.
 async fn admit(
     shared: &Arc<IngressShared>,
     request: Request<Incoming>,
@@ -77,14 +78,14 @@
     };
     let body = read_body(&configuration, &head, body).await.map_err(deny)?;
     if !shared.has_started() {
-        // After a restart of all, callers come before any instance is ready; a refusal would use up
-        // their second try as well.
+        // After a restart of all instances, callers arrive before any instance is ready, and a refusal
+        // would use up their retry as well.
         shared.started().await;
     }
     let configuration = shared.configuration();
     if configuration.version == 0 {
         let proof = Ledger::new().close().map_err(|_| deny(Failure::Broken))?;
-        return Err(refusal(proof, head.request_id.as_deref(), NOT_CONFIGURED));
+        return Err(refusal(proof, head.request_id.as_deref(), UNCONFIGURED_RETRY));
     }
     let Some(id) = head.request_id.clone() else { return Err(deny(Failure::BadRequest)) };
     let request = CallerRequest {
@@ -94,18 +95,18 @@
         body,
         id,
     };
-    if allowed(&configuration, &request, &head).is_err() && !confirm(shared).await {
-        // A denial is for good, and this instance may have missed what allows the request.
+    if find_route(&configuration, &request, &head).is_err() && !confirm(shared).await {
+        // A denial is final, and this instance may have missed the configuration that allows the request.
         let proof = Ledger::new().close().map_err(|_| deny(Failure::Broken))?;
-        return Err(refusal(proof, Some(&request.id), NOT_CONFIGURED));
+        return Err(refusal(proof, Some(&request.id), UNCONFIGURED_RETRY));
     }
     let configuration = shared.configuration();
     let (route, organisation) =
-        allowed(&configuration, &request, &head).map_err(|it| deny(denial(it)))?;
+        find_route(&configuration, &request, &head).map_err(|it| deny(denial_failure(it)))?;
     let confinement = route.confinement_for(organisation.map(Arc::as_ref));
     let within = confinement.bounds(&shared.topology);
     let service = route.service_of(&request.id).ok_or_else(|| deny(Failure::NoRoute))?.to_owned();
-    let parts = Parts {
+    let parts = ContextParts {
         request,
         route: route.clone(),
         service,
@@ -121,8 +122,8 @@
     ctx.refuse_held().or_else(|| ctx.refuse_confined()).map_or(Ok(ctx), Err)
 }
 
-/// The route of a request, and the organisation that its key belongs to.
-fn allowed<'a>(
+/// Finds the route of a request, and the organisation that its key belongs to.
+fn find_route<'a>(
     configuration: &'a Configuration,
     request: &CallerRequest,
     head: &CallerHead,
@@ -132,7 +133,7 @@
     Ok((route, organisation))
 }
 
-fn denial(denied: Denied) -> Failure {
+fn denial_failure(denied: Denied) -> Failure {
     match denied {
         Denied::NoRoute => Failure::NoRoute,
         Denied::BadKey => Failure::BadKey,
--- a/crates/holdpointd/src/ingress/send.rs
+++ b/crates/holdpointd/src/ingress/send.rs
@@ -1,4 +1,4 @@
-//! One send of one request to one target, and what its outcome proves.
+//! Sends one request to one target, and classifies the outcome by whether the target may have run it.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use hyper::body::Incoming;
 
 use crate::ingress::{
-    connections::{Care, Connection},
+    connections::{Connection, Reuse},
     context::Context,
-    gate::{Barred, NoHead, Payload, exchange},
+    gate::{Barred, ExchangeError, Payload, exchange},
     limits::Permit,
     shared::IngressShared,
     unread::MOST_EACH,
 };
 
-/// Longest body that may still be on its way when an answer is there and the connection is kept.
-pub(crate) const SHORT_BODY: usize = 8 << 10;
+/// Longest request body that may still be in transit when its connection is kept after the answer.
+pub(crate) const SHORT_BODY_BYTES: usize = 8 << 10;
 
-/// End of a send in the log whose target has asked this instance to back off.
-pub(crate) const BACKED_OFF: &str = "backoff";
+/// Logged cause of a send whose target asked this instance to back off.
+pub(crate) const BACKOFF_CAUSE: &str = "backoff";
 
 /// A request as its caller sent it.
 #[derive(Clone, Debug)]
@@ -35,25 +35,25 @@
     pub(crate) id: String,
 }
 
-/// Why a call of the system's own had no whole answer.
+/// Why an internal call to a target has no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoAnswer {
     /// There is no connection to the target, or no byte of the call was sent.
     NotSent,
-    /// No byte was sent, since none may be.
+    /// The gate refused the send.
     Barred(Barred),
     /// The connection broke off.
     Broken,
-    /// It took too long.
+    /// The call timed out.
     Silent,
 }
 
-impl From<NoHead> for NoAnswer {
-    fn from(why: NoHead) -> NoAnswer {
+impl From<ExchangeError> for NoAnswer {
+    fn from(why: ExchangeError) -> NoAnswer {
         match why {
-            NoHead::Barred(it) => NoAnswer::Barred(it),
-            NoHead::NotSent => NoAnswer::NotSent,
-            NoHead::Broken | NoHead::Crossed => NoAnswer::Broken,
+            ExchangeError::Blocked(it) => NoAnswer::Barred(it),
+            ExchangeError::NotSent => NoAnswer::NotSent,
+            ExchangeError::Broken | ExchangeError::Crossed => NoAnswer::Broken,
         }
     }
 }
@@ -61,18 +61,18 @@
 /// Outcome of a send.
 pub(crate) enum Sent {
     /// There is no connection to the target, or no byte of the request was sent.
-    Nothing,
-    /// No byte was sent, since none may be.
-    Barred(Barred),
+    NotSent,
+    /// The gate refused the send.
+    Blocked(Barred),
     /// The target has not run the request and never will.
     Declined {
         status: StatusCode,
-        /// Whether it has asked this instance to back off.
+        /// Whether the target asked this instance to back off.
         asks_backoff: bool,
     },
     /// The head of an answer to this request.
     Answered { head: TargetHead, response: Box<Response<Incoming>>, connection: Connection },
-    /// It may have run.
+    /// There is no valid answer; the target may have run the request.
     Broken,
 }
 
@@ -81,30 +81,30 @@
     ctx: &Context,
     target: &TargetInstance,
     permit: Permit,
-    added: &Added<'_>,
+    added_headers: &Added<'_>,
 ) -> Sent {
     let Context { shared, request, .. } = ctx;
-    let Ok(mut connection) = shared.connections.take(target, ctx.care()).await else {
-        return Sent::Nothing;
+    let Ok(mut connection) = shared.connections.take(target, ctx.reuse()).await else {
+        return Sent::NotSent;
     };
-    let Some(outgoing) = outgoing(request, added) else { return Sent::Nothing };
+    let Some(outgoing) = outgoing(request, added_headers) else { return Sent::NotSent };
     let within = ctx.within();
     let payload = Payload::Request { id: &request.id, within: &within };
     let sent = exchange(shared, &mut connection, (target, &permit), payload, outgoing).await;
     let (head, response) = match sent {
         Ok(it) => it,
-        Err(NoHead::Barred(it)) => return Sent::Barred(it),
-        Err(NoHead::NotSent) => return Sent::Nothing,
-        Err(NoHead::Broken) => {
+        Err(ExchangeError::Blocked(it)) => return Sent::Blocked(it),
+        Err(ExchangeError::NotSent) => return Sent::NotSent,
+        Err(ExchangeError::Broken) => {
             ctx.broke_off(target);
             return Sent::Broken;
         }
-        Err(NoHead::Crossed) => return Sent::Broken,
+        Err(ExchangeError::Crossed) => return Sent::Broken,
     };
     if head.is_declined {
         let status = response.status();
         if !head.is_misdirected {
-            keep_after(shared, connection, &response, &head, request.body.len());
+            keep_connection(shared, connection, &response, &head, request.body.len());
         }
         let asks_backoff = head.notice.backoff.is_requested();
         return Sent::Declined { status, asks_backoff };
@@ -120,18 +120,18 @@
     headers::read_target(parts.status, &parts.headers).notice.backoff.is_requested()
 }
 
-/// What was read of an answer's body.
+/// Result of reading an answer's body.
 pub(crate) enum BodyRead {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// The beginning of one that is too long to be held, and the rest.
+    /// The start of a body that is too long to be buffered, and the unread rest.
     Long(Bytes, Incoming),
-    /// It broke off.
+    /// The connection broke off.
     Broken,
 }
 
-/// Reads an answer's body to its end, as far as one may be held. What is held counts as unread meanwhile; where
-/// there is no room for more, the answer is passed on as it comes.
+/// Reads an answer's body to its end, up to the buffer limit of an answer. Buffered bytes count against the
+/// instance's limit for unread answers; where that is reached, the rest is to be streamed.
 pub(crate) async fn read_body(shared: &IngressShared, mut body: Incoming) -> BodyRead {
     let mut read = BytesMut::new();
     let mut counted = Vec::new();
@@ -147,14 +147,14 @@
     BodyRead::Whole(read.freeze())
 }
 
-/// A call of the system's own to a target: its path and body, and what it carries.
+/// An internal call to a target.
 pub(crate) struct OwnCall {
     pub(crate) path: &'static str,
     pub(crate) body: Vec<u8>,
     pub(crate) payload: Payload<'static>,
 }
 
-/// Makes a call of the system's own; returns its answer's status, head and body.
+/// Makes an internal call; returns the status, head and body of its answer.
 pub(crate) async fn own_call(
     shared: &IngressShared,
     (target, permit): (&TargetInstance, Permit),
@@ -162,7 +162,7 @@
     limit: Duration,
 ) -> Result<(StatusCode, TargetHead, Bytes), NoAnswer> {
     let calling = async {
-        let taken = shared.connections.take(target, Care::Usual).await;
+        let taken = shared.connections.take(target, Reuse::Any).await;
         let mut connection = taken.map_err(|_| NoAnswer::NotSent)?;
         let mut request = Request::new(Full::new(Bytes::from(call.body)));
         *request.method_mut() = Method::POST;
@@ -182,17 +182,17 @@
     tokio::time::timeout(limit, calling).await.map_err(|_| NoAnswer::Silent)?
 }
 
-/// Time left until a moment.
+/// Time left until an instant; zero once it has passed.
 pub(crate) fn left(until: Instant) -> Duration {
     until.saturating_duration_since(Instant::now())
 }
 
-fn outgoing(request: &CallerRequest, added: &Added<'_>) -> Option<Request<Full<Bytes>>> {
+fn outgoing(request: &CallerRequest, added_headers: &Added<'_>) -> Option<Request<Full<Bytes>>> {
     let mut out = Request::new(Full::new(request.body.clone()));
     *out.method_mut() = request.method.clone();
     let path = request.path.path_and_query()?.clone();
     *out.uri_mut() = http::Uri::from(path);
-    *out.headers_mut() = headers::forwarded(&request.headers, added);
+    *out.headers_mut() = headers::forwarded(&request.headers, added_headers);
     Some(out)
 }
 
@@ -202,8 +202,8 @@
     }
 }
 
-/// Keeps a connection after an answer that the caller does not need, once its body was read.
-fn keep_after(
+/// Keeps the connection of an answer that is not forwarded, if the answer has no body left to read.
+fn keep_connection(
     shared: &IngressShared,
     connection: Connection,
     response: &Response<Incoming>,
@@ -212,7 +212,7 @@
 ) {
     use hyper::body::Body;
     let is_empty = response.body().is_end_stream();
-    if is_empty && !head.closes && body_length <= SHORT_BODY {
+    if is_empty && !head.closes && body_length <= SHORT_BODY_BYTES {
         shared.connections.give_back(connection, head.idle_limit);
     }
 }
--- a/crates/holdpointd/src/ingress/stream.rs
+++ b/crates/holdpointd/src/ingress/stream.rs
@@ -1,7 +1,7 @@
 //! Requests whose answer is a stream of events.
 //!
-//! Each whole event is passed on at once; part of one is held back. Where the route allows it, a
-//! stream that breaks off goes on at another target inside the same answer.
+//! Complete events are forwarded at once; partial ones are buffered. Where the route allows it, a stream that
+//! breaks off is resumed at another target within the same answer.
 
 use std::time::Duration;
 
@@ -24,36 +24,36 @@
     events::{self, emit},
     ingress::{
         answer::{Answer, passed_on, streamed},
-        attempts::{Attempts, GiveUpCause, end_send, likely_domain},
+        attempts::{Attempts, StopCause, end_send, likely_domain},
         connections::Connection,
         context::Context,
         gate::Barred,
         held::Results,
         limits::Permit,
-        send::{BACKED_OFF, Sent, asks_backoff, send},
+        send::{BACKOFF_CAUSE, Sent, asks_backoff, send},
         stages::{self, FETCHED},
         unread::{Keeper, NotPassed},
     },
 };
 
-/// Why a stream goes on elsewhere whose target's connection broke off.
-const BROKEN: &str = "broken";
-/// Part of the target time without a first event after which another target is tried.
-const FIRST_PATIENCE: f64 = 0.5;
-/// The same as a multiple of the time that 95 in 100 first events take.
-const FIRST_PATIENCE_OF_USUAL: u64 = 2;
-/// A stream goes on elsewhere after so many times the longest timely pause. Engines pause while
-/// they read the prompts of others, so a shorter silence says nothing.
-const GAP_PATIENCE: f64 = 2.0;
-/// Shortest pause after which a stream goes on elsewhere.
-const LEAST_GAP: Duration = Duration::from_millis(800);
-/// When a refused request may come back.
-const COME_BACK: Duration = Duration::from_millis(500);
-/// How often inputs that are gone are made anew for the model server.
-const INPUT_REMAKES: u32 = 2;
+/// Logged cause of a stream whose connection to the target broke off.
+const BROKEN_CAUSE: &str = "broken";
+/// Fraction of the target time that bounds the wait for a first event before another target is tried.
+const FIRST_EVENT_FRACTION: f64 = 0.5;
+/// The same bound as a multiple of the route's 95th percentile of first-event times; the longer one applies.
+const FIRST_EVENT_P95_FACTOR: u64 = 2;
+/// Multiple of the route's longest timely pause after which a stream is resumed at another target. Engines
+/// pause while they read other prompts, so a shorter silence is no sign of a failure.
+const GAP_FACTOR: f64 = 2.0;
+/// Shortest pause after which a stream is resumed at another target.
+const MIN_GAP_TIMEOUT: Duration = Duration::from_millis(800);
+/// Shortest Retry-After of a refused request.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Most reruns of the stages for a request whose inputs its target cannot fetch.
+const MAX_STAGE_RERUNS: u32 = 2;
 
 /// A stream that has begun.
-struct Open {
+struct OpenStream {
     target: TargetInstance,
     head: TargetHead,
     parts: Parts,
@@ -67,31 +67,31 @@
     first_ms: Millis,
 }
 
-/// How one send of a stream ended before its first event.
-enum Ended {
-    Open(Box<Open>),
-    /// The target failed it by an answer of its own.
+/// Outcome of one send, up to the first event.
+enum SendEnd {
+    Open(Box<OpenStream>),
+    /// The target answered with an error.
     Failed(Box<Parts>, Bytes),
     NotSent,
-    /// No byte was sent, since none may be.
-    Barred(Barred),
+    /// The gate refused the send.
+    Blocked(Barred),
     Declined,
-    /// The same, and the target has asked this instance to back off.
+    /// The target declined the request and asked this instance to back off.
     BackedOff,
     InputsGone,
     Broken,
-    Silent,
+    TimedOut,
 }
 
 /// Why a stream did not begin.
-enum NotOpen {
+enum OpenError {
     Failed(Box<Parts>, Bytes),
-    GiveUpCause(GiveUpCause),
+    Stopped(StopCause),
     /// The results of its stages are missing.
     NoResults(&'static str),
-    /// The stages have too much to do; they would take so long.
+    /// The stages are overloaded; the request may be retried after this time.
     Overload(Duration),
-    /// Nobody waits for it any more.
+    /// The caller has disconnected.
     CallerGone,
 }
 
@@ -100,84 +100,84 @@
     let mut attempts = Attempts::default();
     let opened = tokio::select! {
         it = open(&ctx, &mut attempts, None) => it,
-        () = ctx.time_over() => Err(NotOpen::GiveUpCause(GiveUpCause::Time)),
-        () = ctx.is_held() => Err(NotOpen::GiveUpCause(GiveUpCause::Quarantined)),
-        () = ctx.shared.stop_nears() => Err(NotOpen::GiveUpCause(GiveUpCause::Stopping)),
+        () = ctx.deadline_passed() => Err(OpenError::Stopped(StopCause::Time)),
+        () = ctx.is_held() => Err(OpenError::Stopped(StopCause::Quarantined)),
+        () = ctx.shared.stop_nears() => Err(OpenError::Stopped(StopCause::Stopping)),
     };
     match opened {
         Ok(it) => {
-            ctx.note_first();
-            // Until its end the stream counts as left by its caller.
-            ctx.note_end(it.parts.status.as_u16(), "");
-            let (keeper, frames) = ctx.shared.unread.channel();
+            ctx.record_first_byte();
+            // Without a later record, the stream counts as abandoned by its caller.
+            ctx.record_end(it.parts.status.as_u16(), "");
+            let (sink, frames) = ctx.shared.unread.channel();
             let answer = streamed(&it.parts, frames);
-            tokio::spawn(pump(ctx, attempts, it, keeper));
+            tokio::spawn(forward_stream(ctx, attempts, it, sink));
             answer
         }
-        Err(NotOpen::Failed(parts, body)) => {
-            ctx.note_end(parts.status.as_u16(), "target-failed");
+        Err(OpenError::Failed(parts, body)) => {
+            ctx.record_end(parts.status.as_u16(), "target-failed");
             passed_on(&parts, body)
         }
-        Err(NotOpen::GiveUpCause(cause)) => {
-            ctx.give_up(cause.name(), cause.return_after(COME_BACK))
+        Err(OpenError::Stopped(cause)) => {
+            ctx.give_up(cause.name(), cause.retry_after(MIN_RETRY_AFTER))
         }
-        Err(NotOpen::NoResults(cause)) => ctx.give_up(cause, COME_BACK),
-        Err(NotOpen::Overload(it)) => ctx.give_up("overload", it.max(COME_BACK)),
-        Err(NotOpen::CallerGone) => ctx.give_up("caller-gone", COME_BACK),
+        Err(OpenError::NoResults(cause)) => ctx.give_up(cause, MIN_RETRY_AFTER),
+        Err(OpenError::Overload(it)) => ctx.give_up("overload", it.max(MIN_RETRY_AFTER)),
+        Err(OpenError::CallerGone) => ctx.give_up("caller-gone", MIN_RETRY_AFTER),
     }
 }
 
-/// Makes the stages' results and sends the request until a stream begins.
+/// Runs the stages and sends the request until a stream begins.
 async fn open(
     ctx: &Context,
     attempts: &mut Attempts,
     last_event: Option<&str>,
-) -> Result<Box<Open>, NotOpen> {
+) -> Result<Box<OpenStream>, OpenError> {
     let mut results = stage_results(ctx).await?;
-    let mut remakes = 0;
+    let mut reruns = 0;
     let mut last_failure = None;
     let cause = loop {
-        let (target, permit) = match attempts.next(ctx, &results.places).await {
+        let (target, permit) = match attempts.next(ctx, &results.domain_bytes).await {
             Ok(it) => it,
             Err(it) => break it,
         };
-        let ended = if results.are_within(&ctx.within()) {
+        let ended = if results.match_bounds(&ctx.within()) {
             attempt(ctx, attempts, (&target, permit), last_event, &mut results).await
         } else {
             end_send(ctx, &target, End::Dropped, "bounds-changed");
-            Ended::InputsGone
+            SendEnd::InputsGone
         };
         match ended {
-            Ended::Open(it) => return Ok(it),
-            Ended::Failed(parts, body) => {
+            SendEnd::Open(it) => return Ok(it),
+            SendEnd::Failed(parts, body) => {
                 last_failure = Some((parts, body));
                 if !ctx.is_repeatable() {
-                    break GiveUpCause::Attempts;
+                    break StopCause::Attempts;
                 }
             }
-            Ended::NotSent | Ended::Barred(_) => attempts.never_sent(ctx),
-            Ended::InputsGone if remakes < INPUT_REMAKES => {
-                remakes += 1;
-                attempts.take_back();
+            SendEnd::NotSent | SendEnd::Blocked(_) => attempts.never_sent(ctx),
+            SendEnd::InputsGone if reruns < MAX_STAGE_RERUNS => {
+                reruns += 1;
+                attempts.uncount();
                 results = stage_results(ctx).await?;
             }
-            Ended::Declined | Ended::BackedOff | Ended::InputsGone => (),
-            Ended::Broken | Ended::Silent if ctx.is_repeatable() => (),
-            Ended::Broken | Ended::Silent => break GiveUpCause::Attempts,
+            SendEnd::Declined | SendEnd::BackedOff | SendEnd::InputsGone => (),
+            SendEnd::Broken | SendEnd::TimedOut if ctx.is_repeatable() => (),
+            SendEnd::Broken | SendEnd::TimedOut => break StopCause::Attempts,
         }
     };
     match last_failure {
-        Some((parts, body)) => Err(NotOpen::Failed(parts, body)),
-        None => Err(NotOpen::GiveUpCause(cause)),
+        Some((parts, body)) => Err(OpenError::Failed(parts, body)),
+        None => Err(OpenError::Stopped(cause)),
     }
 }
 
-async fn stage_results(ctx: &Context) -> Result<Results, NotOpen> {
-    let domain = likely_domain(ctx).map_err(NotOpen::GiveUpCause)?;
+async fn stage_results(ctx: &Context) -> Result<Results, OpenError> {
+    let domain = likely_domain(ctx).map_err(OpenError::Stopped)?;
     stages::make_all(ctx, &domain).await.map_err(|it| match it {
-        NoResult::Overload(ms) => NotOpen::Overload(Duration::from_millis(ms)),
-        NoResult::Late => NotOpen::NoResults("stages-late"),
-        _ => NotOpen::NoResults("stages"),
+        NoResult::Overload(ms) => OpenError::Overload(Duration::from_millis(ms)),
+        NoResult::Late => OpenError::NoResults("stages-late"),
+        _ => OpenError::NoResults("stages"),
     })
 }
 
@@ -187,52 +187,52 @@
     (target, permit): (&TargetInstance, Permit),
     last_event: Option<&str>,
     results: &mut Results,
-) -> Ended {
-    let Some(begun) = ctx.ledger.begin() else { return Ended::Broken };
-    let limit = first_patience(ctx, attempts);
+) -> SendEnd {
+    let Some(begun) = ctx.ledger.begin() else { return SendEnd::Broken };
+    let limit = first_event_timeout(ctx, attempts);
     let sent =
         tokio::time::timeout(limit, send_inputs(ctx, (target, permit), last_event, results)).await;
-    let ended = sent.unwrap_or(Ended::Silent);
+    let ended = sent.unwrap_or(SendEnd::TimedOut);
     match &ended {
-        Ended::Open(it) => ctx.first_event_took(it.first_ms),
-        Ended::Failed(parts, _) if asks_backoff(parts) => {
-            end_send(ctx, target, End::Dropped, BACKED_OFF);
+        SendEnd::Open(it) => ctx.record_first_event(it.first_ms),
+        SendEnd::Failed(parts, _) if asks_backoff(parts) => {
+            end_send(ctx, target, End::Dropped, BACKOFF_CAUSE);
         }
-        Ended::Failed(..) => end_send(ctx, target, End::Failed, "target-failed"),
-        Ended::NotSent => {
+        SendEnd::Failed(..) => end_send(ctx, target, End::Failed, "target-failed"),
+        SendEnd::NotSent => {
             begun.never_sent();
             end_send(ctx, target, End::Failed, "not-sent");
         }
-        Ended::Barred(it) => {
+        SendEnd::Blocked(it) => {
             begun.never_sent();
             end_send(ctx, target, End::Dropped, it.name());
         }
-        Ended::Declined => {
+        SendEnd::Declined => {
             begun.declined();
             end_send(ctx, target, End::Failed, "declined");
         }
-        Ended::BackedOff => {
+        SendEnd::BackedOff => {
             begun.declined();
-            end_send(ctx, target, End::Dropped, BACKED_OFF);
+            end_send(ctx, target, End::Dropped, BACKOFF_CAUSE);
         }
-        Ended::InputsGone => {
+        SendEnd::InputsGone => {
             begun.declined();
             end_send(ctx, target, End::Dropped, "inputs-gone");
         }
-        Ended::Broken => end_send(ctx, target, End::Failed, "broken"),
-        Ended::Silent => end_send(ctx, target, End::Failed, "silent"),
+        SendEnd::Broken => end_send(ctx, target, End::Failed, "broken"),
+        SendEnd::TimedOut => end_send(ctx, target, End::Failed, "silent"),
     }
     ended
 }
 
-/// Sends the request, and gives its inputs up once the target has fetched them, which it does before
-/// it reads the prompt. Their makers have room again while the prompt is read.
+/// Sends the request, and releases its inputs once the target has had time to fetch them, which it does before
+/// it reads the prompt. The targets that store them get room for other results early.
 async fn send_inputs(
     ctx: &Context,
     (target, permit): (&TargetInstance, Permit),
     last_event: Option<&str>,
     results: &mut Results,
-) -> Ended {
+) -> SendEnd {
     let inputs = results.inputs.clone();
     let sending = send_stream(ctx, (target, permit), last_event, &inputs);
     tokio::pin!(sending);
@@ -248,30 +248,30 @@
     }
 }
 
-/// Sends the request and waits for the first whole event.
+/// Sends the request and waits for the first complete event.
 async fn send_stream(
     ctx: &Context,
     (target, permit): (&TargetInstance, Permit),
     last_event: Option<&str>,
     inputs: &[String],
-) -> Ended {
+) -> SendEnd {
     let started = Instant::now();
-    let added = ctx.added(target, last_event, inputs);
-    let sent = send(ctx, target, permit, &added).await;
+    let added_headers = ctx.added_headers(target, last_event, inputs);
+    let sent = send(ctx, target, permit, &added_headers).await;
     let (head, response, connection) = match sent {
-        Sent::Nothing => return Ended::NotSent,
-        Sent::Barred(it) => return Ended::Barred(it),
-        Sent::Broken => return Ended::Broken,
-        Sent::Declined { asks_backoff: true, .. } => return Ended::BackedOff,
-        Sent::Declined { status: StatusCode::CONFLICT, .. } => return Ended::InputsGone,
-        Sent::Declined { .. } => return Ended::Declined,
+        Sent::NotSent => return SendEnd::NotSent,
+        Sent::Blocked(it) => return SendEnd::Blocked(it),
+        Sent::Broken => return SendEnd::Broken,
+        Sent::Declined { asks_backoff: true, .. } => return SendEnd::BackedOff,
+        Sent::Declined { status: StatusCode::CONFLICT, .. } => return SendEnd::InputsGone,
+        Sent::Declined { .. } => return SendEnd::Declined,
         Sent::Answered { head, response, connection } => (head, response, connection),
     };
     let (parts, mut body) = response.into_parts();
     if !parts.status.is_success() {
         return match body.collect().await {
-            Ok(it) => Ended::Failed(Box::new(parts), it.to_bytes()),
-            Err(_) => Ended::Broken,
+            Ok(it) => SendEnd::Failed(Box::new(parts), it.to_bytes()),
+            Err(_) => SendEnd::Broken,
         };
     }
     let mut splitter = EventSplitter::default();
@@ -282,10 +282,10 @@
             Next::End => (Vec::new(), true),
             Next::Broken => {
                 ctx.broke_off(target);
-                return Ended::Broken;
+                return SendEnd::Broken;
             }
         };
-        return Ended::Open(Box::new(Open {
+        return SendEnd::Open(Box::new(OpenStream {
             target: target.clone(),
             head,
             parts,
@@ -315,46 +315,51 @@
     }
 }
 
-/// Passes events on until the stream ends, breaks off for good or is left by its caller.
-async fn pump(ctx: Context, mut attempts: Attempts, mut open_stream: Box<Open>, keeper: Keeper) {
+/// Forwards events until the stream ends, fails for good or is abandoned by its caller.
+async fn forward_stream(
+    ctx: Context,
+    mut attempts: Attempts,
+    mut open_stream: Box<OpenStream>,
+    sink: Keeper,
+) {
     let mut last_id: Option<String> = ctx.head.last_event.clone();
     let status = open_stream.parts.status.as_u16();
     loop {
         let target = open_stream.target.clone();
         let first_ms = open_stream.first_ms;
-        let passed = tokio::select! {
-            it = pass(&ctx, &attempts, open_stream, &mut last_id, &keeper) => it,
-            () = keeper.closed() => Passed::NotPassed(NotPassed::Gone),
-            () = ctx.time_over() => Passed::TimeOver,
+        let forwarded = tokio::select! {
+            it = forward(&ctx, &attempts, open_stream, &mut last_id, &sink) => it,
+            () = sink.closed() => Forwarded::Undelivered(NotPassed::Gone),
+            () = ctx.deadline_passed() => Forwarded::DeadlinePassed,
         };
-        match passed {
-            Passed::Whole => {
+        match forwarded {
+            Forwarded::Whole => {
                 ctx.has_passed();
                 end_send(&ctx, &target, End::Whole(first_ms), "answered");
-                ctx.note_end(status, "answered");
+                ctx.record_end(status, "answered");
                 return;
             }
-            Passed::NotPassed(why) => {
-                let cause = ctx.note_not_passed(why);
+            Forwarded::Undelivered(why) => {
+                let cause = ctx.record_undelivered(why);
                 end_send(&ctx, &target, End::Dropped, cause);
-                return break_off(&ctx, status, cause, &keeper);
+                return break_off(&ctx, status, cause, &sink);
             }
-            Passed::TimeOver => {
+            Forwarded::DeadlinePassed => {
                 end_send(&ctx, &target, End::Dropped, "time-over");
-                return break_off(&ctx, status, "time-over", &keeper);
+                return break_off(&ctx, status, "time-over", &sink);
             }
-            Passed::Broken(cause) => {
-                if cause == BROKEN {
+            Forwarded::Broken(cause) => {
+                if cause == BROKEN_CAUSE {
                     ctx.broke_off(&target);
                 }
                 end_send(&ctx, &target, End::Failed, cause);
                 if !ctx.is_repeatable() {
-                    return break_off(&ctx, status, cause, &keeper);
+                    return break_off(&ctx, status, cause, &sink);
                 }
                 let reopened = tokio::select! {
                     it = open(&ctx, &mut attempts, last_id.as_deref()) => it,
-                    () = keeper.closed() => Err(NotOpen::CallerGone),
-                    () = ctx.time_over() => Err(NotOpen::GiveUpCause(GiveUpCause::Time)),
+                    () = sink.closed() => Err(OpenError::CallerGone),
+                    () = ctx.deadline_passed() => Err(OpenError::Stopped(StopCause::Time)),
                 };
                 let event = last_id.as_deref().unwrap_or("none");
                 let detail = format!(
@@ -366,40 +371,40 @@
                 emit(events::STREAM_MOVED, &ctx.shared.settings.instance, &detail);
                 match reopened {
                     Ok(it) => open_stream = it,
-                    Err(_) => return break_off(&ctx, status, cause, &keeper),
+                    Err(_) => return break_off(&ctx, status, cause, &sink),
                 }
             }
         }
     }
 }
 
-fn break_off(ctx: &Context, status: u16, cause: &'static str, keeper: &Keeper) {
-    ctx.note_end(status, cause);
-    keeper.break_off();
+fn break_off(ctx: &Context, status: u16, cause: &'static str, sink: &Keeper) {
+    ctx.record_end(status, cause);
+    sink.break_off();
 }
 
-/// How the passing on of one target's stream ended.
-enum Passed {
+/// How the forwarding of one target's stream ended.
+enum Forwarded {
     Whole,
     Broken(&'static str),
-    NotPassed(NotPassed),
-    TimeOver,
+    Undelivered(NotPassed),
+    DeadlinePassed,
 }
 
-async fn pass(
+async fn forward(
     ctx: &Context,
     attempts: &Attempts,
-    open: Box<Open>,
+    open: Box<OpenStream>,
     last_id: &mut Option<String>,
-    keeper: &Keeper,
-) -> Passed {
-    let Open { head, mut body, connection, mut splitter, first, is_ended, .. } = *open;
-    if let Err(it) = pass_events(first, last_id, keeper).await {
-        return Passed::NotPassed(it);
+    sink: &Keeper,
+) -> Forwarded {
+    let OpenStream { head, mut body, connection, mut splitter, first, is_ended, .. } = *open;
+    if let Err(it) = forward_events(first, last_id, sink).await {
+        return Forwarded::Undelivered(it);
     }
-    let gap = gap_patience(ctx, attempts);
+    let gap = gap_timeout(ctx, attempts);
     if is_ended {
-        return keep(ctx, connection, &head);
+        return keep_connection(ctx, connection, &head);
     }
     let mut last = Instant::now();
     loop {
@@ -407,32 +412,32 @@
         match next {
             Ok(Next::Events(events)) => {
                 let now = Instant::now();
-                ctx.note_gap(now - last);
+                ctx.record_gap(now - last);
                 last = now;
-                if let Err(it) = pass_events(events, last_id, keeper).await {
-                    return Passed::NotPassed(it);
+                if let Err(it) = forward_events(events, last_id, sink).await {
+                    return Forwarded::Undelivered(it);
                 }
             }
-            Ok(Next::End) => return keep(ctx, connection, &head),
-            Ok(Next::Broken) => return Passed::Broken(BROKEN),
-            Err(_) => return Passed::Broken("silent"),
+            Ok(Next::End) => return keep_connection(ctx, connection, &head),
+            Ok(Next::Broken) => return Forwarded::Broken(BROKEN_CAUSE),
+            Err(_) => return Forwarded::Broken("silent"),
         }
     }
 }
 
-/// Ends a stream that came whole; its connection is kept.
-fn keep(ctx: &Context, connection: Connection, head: &TargetHead) -> Passed {
+/// Ends a complete stream, and keeps its connection unless the target closes it.
+fn keep_connection(ctx: &Context, connection: Connection, head: &TargetHead) -> Forwarded {
     if !head.closes {
         ctx.shared.connections.give_back(connection, head.idle_limit);
     }
-    Passed::Whole
+    Forwarded::Whole
 }
 
-/// Passes events on in one piece.
-async fn pass_events(
+/// Forwards events as one chunk, and records the id of the last one.
+async fn forward_events(
     events: Vec<WholeEvent>,
     last_id: &mut Option<String>,
-    keeper: &Keeper,
+    sink: &Keeper,
 ) -> Result<(), NotPassed> {
     if let Some(it) = events.iter().rev().find_map(|it| it.id.clone()) {
         *last_id = Some(it);
@@ -446,25 +451,25 @@
             joined.freeze()
         }
     };
-    keeper.send(bytes).await
+    sink.send(bytes).await
 }
 
-/// How long a first event is waited for: to the end where no other send may follow.
-fn first_patience(ctx: &Context, attempts: &Attempts) -> Duration {
+/// Timeout for the first event: the deadline where no other send may follow.
+fn first_event_timeout(ctx: &Context, attempts: &Attempts) -> Duration {
     let left = ctx.left();
     if !ctx.is_repeatable() || !attempts.may_repeat(ctx) {
         return left;
     }
     let usual = ctx.first_event_ms(95).unwrap_or(0);
-    let usual = Duration::from_millis(FIRST_PATIENCE_OF_USUAL * usual);
-    ctx.target_time().mul_f64(FIRST_PATIENCE).max(usual).min(left)
+    let usual = Duration::from_millis(FIRST_EVENT_P95_FACTOR * usual);
+    ctx.target_time().mul_f64(FIRST_EVENT_FRACTION).max(usual).min(left)
 }
 
-/// How long the next event is waited for.
-fn gap_patience(ctx: &Context, attempts: &Attempts) -> Duration {
+/// Timeout for the next event: the deadline where no other send may follow.
+fn gap_timeout(ctx: &Context, attempts: &Attempts) -> Duration {
     match ctx.route.shape {
         Shape::Events { gap_ms, .. } if ctx.is_repeatable() && attempts.may_repeat(ctx) => {
-            Duration::from_millis(gap_ms).mul_f64(GAP_PATIENCE).max(LEAST_GAP)
+            Duration::from_millis(gap_ms).mul_f64(GAP_FACTOR).max(MIN_GAP_TIMEOUT)
         }
         _ => ctx.left(),
     }
--- a/crates/holdpointd/src/ingress/whole.rs
+++ b/crates/holdpointd/src/ingress/whole.rs
@@ -12,30 +12,30 @@
 
 use crate::ingress::{
     answer::{Answer, passed_on, streamed},
-    attempts::{Attempts, GiveUpCause, end_send, likely_domain},
+    attempts::{Attempts, StopCause, end_send, likely_domain},
     connections::Connection,
     context::Context,
     gate::Barred,
     limits::Permit,
-    send::{BACKED_OFF, BodyRead, SHORT_BODY, Sent, asks_backoff, read_body, send},
+    send::{BACKOFF_CAUSE, BodyRead, SHORT_BODY_BYTES, Sent, asks_backoff, read_body, send},
     stages,
     unread::Keeper,
 };
 
-/// Part of the target time after which a repeatable request goes to another target.
-const PATIENCE: f64 = 0.5;
-/// The same as a multiple of the time that 95 in 100 answers take.
-const PATIENCE_OF_USUAL: u64 = 3;
-/// When a refused request may come back.
-const COME_BACK: Duration = Duration::from_millis(50);
+/// Fraction of the target time after which a repeatable request is sent to another target.
+const SEND_FRACTION: f64 = 0.5;
+/// The same bound as a multiple of the service's 95th percentile of answer times; the longer one applies.
+const SEND_P95_FACTOR: u64 = 3;
+/// Shortest Retry-After of a refused request.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// An answer that is too long to be held until it is whole.
-struct Long {
+/// An answer that is too long to be buffered completely.
+struct LongAnswer {
     target: TargetInstance,
     head: TargetHead,
     parts: Parts,
-    /// What has come of it.
-    begun: Bytes,
+    /// Bytes of the body received so far.
+    received: Bytes,
     rest: Incoming,
     connection: Connection,
     started: Instant,
@@ -44,70 +44,70 @@
 /// How a request was answered.
 enum Outcome {
     Answer(Answer),
-    Long(Box<Long>),
+    Long(Box<LongAnswer>),
 }
 
-/// How one send of a request ended.
-enum Ended {
+/// Outcome of one send.
+enum SendEnd {
     Answered(Box<Parts>, Bytes),
-    Long(Box<Long>),
-    /// The target failed it by an answer of its own.
+    Long(Box<LongAnswer>),
+    /// The target answered with an error.
     Failed(Box<Parts>, Bytes),
     NotSent,
-    /// No byte was sent, since none may be.
-    Barred(Barred),
+    /// The gate refused the send.
+    Blocked(Barred),
     Declined,
-    /// The same, and the target has asked this instance to back off.
+    /// The target declined the request and asked this instance to back off.
     BackedOff,
     Broken,
-    Silent,
+    TimedOut,
 }
 
 /// Serves a request.
 pub(crate) async fn serve(ctx: Context) -> Answer {
-    let give_up = |why: GiveUpCause| Outcome::Answer(ctx.give_up(why.name(), COME_BACK));
+    let give_up = |why: StopCause| Outcome::Answer(ctx.give_up(why.name(), MIN_RETRY_AFTER));
     let outcome = tokio::select! {
         it = answer(&ctx) => it,
-        () = ctx.time_over() => give_up(GiveUpCause::Time),
-        () = ctx.is_held() => give_up(GiveUpCause::Quarantined),
-        () = ctx.shared.stop_nears() => give_up(GiveUpCause::Stopping),
+        () = ctx.deadline_passed() => give_up(StopCause::Time),
+        () = ctx.is_held() => give_up(StopCause::Quarantined),
+        () = ctx.shared.stop_nears() => give_up(StopCause::Stopping),
     };
     match outcome {
         Outcome::Answer(it) => it,
         Outcome::Long(it) => {
-            ctx.note_end(it.parts.status.as_u16(), "");
-            let (keeper, frames) = ctx.shared.unread.channel();
+            ctx.record_end(it.parts.status.as_u16(), "");
+            let (sink, frames) = ctx.shared.unread.channel();
             let answer = streamed(&it.parts, frames);
-            tokio::spawn(pass_on(ctx, it, keeper));
+            tokio::spawn(forward_rest(ctx, it, sink));
             answer
         }
     }
 }
 
-/// Passes on an answer that is too long to be held, as fast as its caller reads it.
-async fn pass_on(ctx: Context, long: Box<Long>, keeper: Keeper) {
-    let Long { target, head, parts, begun, rest, connection, started } = *long;
-    let passing = async {
-        let passed = keeper.send(begun).await;
-        passed.map_err(|it| ctx.note_not_passed(it))?;
+/// Forwards an answer that is too long to be buffered, as fast as its caller reads it.
+async fn forward_rest(ctx: Context, long: Box<LongAnswer>, sink: Keeper) {
+    let LongAnswer { target, head, parts, received, rest, connection, started } = *long;
+    let forwarding = async {
+        let forwarded = sink.send(received).await;
+        forwarded.map_err(|it| ctx.record_undelivered(it))?;
         let mut rest = rest;
         while let Some(frame) = rest.frame().await {
             let Ok(frame) = frame else {
                 ctx.broke_off(&target);
                 return Err("broken");
             };
-            let passed = keeper.send(frame.into_data().unwrap_or_default()).await;
-            passed.map_err(|it| ctx.note_not_passed(it))?;
+            let forwarded = sink.send(frame.into_data().unwrap_or_default()).await;
+            forwarded.map_err(|it| ctx.record_undelivered(it))?;
         }
         Ok(())
     };
-    let passed = tokio::select! {
-        it = passing => it,
-        () = keeper.closed() => Err("caller-gone"),
-        () = ctx.time_over() => Err(GiveUpCause::Time.name()),
+    let forwarded = tokio::select! {
+        it = forwarding => it,
+        () = sink.closed() => Err("caller-gone"),
+        () = ctx.deadline_passed() => Err(StopCause::Time.name()),
     };
     let status = parts.status.as_u16();
-    match passed {
+    match forwarded {
         Ok(()) => {
             ctx.has_passed();
             if !head.closes {
@@ -115,13 +115,13 @@
             }
             let ms = started.elapsed().as_millis() as Millis;
             end_send(&ctx, &target, End::Whole(ms), "answered");
-            ctx.note_end(status, "answered");
+            ctx.record_end(status, "answered");
         }
         Err(cause) => {
             let end = if cause == "broken" { End::Failed } else { End::Dropped };
             end_send(&ctx, &target, end, cause);
-            ctx.note_end(status, cause);
-            keeper.break_off();
+            ctx.record_end(status, cause);
+            sink.break_off();
         }
     }
 }
@@ -131,15 +131,15 @@
         Vec::new()
     } else {
         if let Err(it) = likely_domain(ctx) {
-            return Outcome::Answer(ctx.give_up(it.name(), it.return_after(COME_BACK)));
+            return Outcome::Answer(ctx.give_up(it.name(), it.retry_after(MIN_RETRY_AFTER)));
         }
         match tokio::time::timeout(ctx.left(), stages::make_all(ctx, "")).await {
             Ok(Ok(it)) => it.inputs,
             Ok(Err(NoResult::Overload(ms))) => {
-                let return_after = Duration::from_millis(ms).max(COME_BACK);
-                return Outcome::Answer(ctx.give_up("overload", return_after));
+                let retry_after = Duration::from_millis(ms).max(MIN_RETRY_AFTER);
+                return Outcome::Answer(ctx.give_up("overload", retry_after));
             }
-            _ => return Outcome::Answer(ctx.give_up("stages", COME_BACK)),
+            _ => return Outcome::Answer(ctx.give_up("stages", MIN_RETRY_AFTER)),
         }
     };
     let mut attempts = Attempts::default();
@@ -150,29 +150,29 @@
             Err(it) => break it,
         };
         match attempt(ctx, &attempts, (&target, permit), &inputs).await {
-            Ended::Answered(head, body) => {
-                ctx.note_end(head.status.as_u16(), "answered");
+            SendEnd::Answered(head, body) => {
+                ctx.record_end(head.status.as_u16(), "answered");
                 return Outcome::Answer(passed_on(&head, body));
             }
-            Ended::Long(it) => return Outcome::Long(it),
-            Ended::Failed(head, body) => {
+            SendEnd::Long(it) => return Outcome::Long(it),
+            SendEnd::Failed(head, body) => {
                 last_failure = Some((head, body));
                 if !ctx.is_repeatable() {
-                    break GiveUpCause::Attempts;
+                    break StopCause::Attempts;
                 }
             }
-            Ended::NotSent | Ended::Barred(_) => attempts.never_sent(ctx),
-            Ended::Declined | Ended::BackedOff => (),
-            Ended::Broken | Ended::Silent if ctx.is_repeatable() => (),
-            Ended::Broken | Ended::Silent => break GiveUpCause::Attempts,
+            SendEnd::NotSent | SendEnd::Blocked(_) => attempts.never_sent(ctx),
+            SendEnd::Declined | SendEnd::BackedOff => (),
+            SendEnd::Broken | SendEnd::TimedOut if ctx.is_repeatable() => (),
+            SendEnd::Broken | SendEnd::TimedOut => break StopCause::Attempts,
         }
     };
     match last_failure {
         Some((head, body)) => {
-            ctx.note_end(head.status.as_u16(), "target-failed");
+            ctx.record_end(head.status.as_u16(), "target-failed");
             Outcome::Answer(passed_on(&head, body))
         }
-        None => Outcome::Answer(ctx.give_up(cause.name(), cause.return_after(COME_BACK))),
+        None => Outcome::Answer(ctx.give_up(cause.name(), cause.retry_after(MIN_RETRY_AFTER))),
     }
 }
 
@@ -181,57 +181,57 @@
     attempts: &Attempts,
     (target, permit): (&TargetInstance, Permit),
     inputs: &[String],
-) -> Ended {
-    let Some(begun) = ctx.ledger.begin() else { return Ended::Broken };
+) -> SendEnd {
+    let Some(begun) = ctx.ledger.begin() else { return SendEnd::Broken };
     let started = Instant::now();
-    let limit = patience(ctx, attempts);
+    let limit = send_timeout(ctx, attempts);
     let sent = tokio::time::timeout(limit, send_whole(ctx, (target, permit), inputs)).await;
     let ms = started.elapsed().as_millis() as Millis;
     match sent {
         Err(_) => {
             end_send(ctx, target, End::Failed, "silent");
-            Ended::Silent
+            SendEnd::TimedOut
         }
-        Ok(Ended::NotSent) => {
+        Ok(SendEnd::NotSent) => {
             begun.never_sent();
             end_send(ctx, target, End::Failed, "not-sent");
-            Ended::NotSent
+            SendEnd::NotSent
         }
-        Ok(Ended::Barred(it)) => {
+        Ok(SendEnd::Blocked(it)) => {
             begun.never_sent();
             end_send(ctx, target, End::Dropped, it.name());
-            Ended::Barred(it)
+            SendEnd::Blocked(it)
         }
-        Ok(Ended::Declined) => {
+        Ok(SendEnd::Declined) => {
             begun.declined();
             end_send(ctx, target, End::Failed, "declined");
-            Ended::Declined
+            SendEnd::Declined
         }
-        Ok(Ended::BackedOff) => {
+        Ok(SendEnd::BackedOff) => {
             begun.declined();
-            end_send(ctx, target, End::Dropped, BACKED_OFF);
-            Ended::BackedOff
+            end_send(ctx, target, End::Dropped, BACKOFF_CAUSE);
+            SendEnd::BackedOff
         }
-        Ok(Ended::Answered(head, body)) => {
-            ctx.note_first();
+        Ok(SendEnd::Answered(head, body)) => {
+            ctx.record_first_byte();
             ctx.has_passed();
             ctx.pool.times.lock().record(ctx.shared.clock.now(), ms);
             end_send(ctx, target, End::Whole(ms), "answered");
-            Ended::Answered(head, body)
+            SendEnd::Answered(head, body)
         }
-        Ok(Ended::Long(it)) => {
-            ctx.note_first();
-            Ended::Long(it)
+        Ok(SendEnd::Long(it)) => {
+            ctx.record_first_byte();
+            SendEnd::Long(it)
         }
-        Ok(Ended::Failed(head, body)) => {
-            // A failure of its own now and then says nothing about the target.
-            let cause = if asks_backoff(&head) { BACKED_OFF } else { "target-failed" };
+        Ok(SendEnd::Failed(head, body)) => {
+            // An occasional error answer says nothing about the target's health.
+            let cause = if asks_backoff(&head) { BACKOFF_CAUSE } else { "target-failed" };
             end_send(ctx, target, End::Dropped, cause);
-            Ended::Failed(head, body)
+            SendEnd::Failed(head, body)
         }
-        Ok(Ended::Broken | Ended::Silent) => {
+        Ok(SendEnd::Broken | SendEnd::TimedOut) => {
             end_send(ctx, target, End::Failed, "broken");
-            Ended::Broken
+            SendEnd::Broken
         }
     }
 }
@@ -240,54 +240,55 @@
     ctx: &Context,
     (target, permit): (&TargetInstance, Permit),
     inputs: &[String],
-) -> Ended {
-    let added = ctx.added(target, None, inputs);
-    match send(ctx, target, permit, &added).await {
-        Sent::Nothing => Ended::NotSent,
-        Sent::Barred(it) => Ended::Barred(it),
-        Sent::Declined { asks_backoff: true, .. } => Ended::BackedOff,
-        Sent::Declined { .. } => Ended::Declined,
-        Sent::Broken => Ended::Broken,
+) -> SendEnd {
+    let added_headers = ctx.added_headers(target, None, inputs);
+    match send(ctx, target, permit, &added_headers).await {
+        Sent::NotSent => SendEnd::NotSent,
+        Sent::Blocked(it) => SendEnd::Blocked(it),
+        Sent::Declined { asks_backoff: true, .. } => SendEnd::BackedOff,
+        Sent::Declined { .. } => SendEnd::Declined,
+        Sent::Broken => SendEnd::Broken,
         Sent::Answered { head, response, connection } => {
             let started = Instant::now();
             let (parts, body) = response.into_parts();
             match read_body(&ctx.shared, body).await {
                 BodyRead::Whole(body) => {
-                    keep(ctx, &head, parts.status.is_success(), connection);
+                    keep_connection(ctx, &head, parts.status.is_success(), connection);
                     match parts.status.is_server_error() {
-                        true => Ended::Failed(Box::new(parts), body),
-                        false => Ended::Answered(Box::new(parts), body),
+                        true => SendEnd::Failed(Box::new(parts), body),
+                        false => SendEnd::Answered(Box::new(parts), body),
                     }
                 }
-                BodyRead::Long(begun, rest) => {
+                BodyRead::Long(received, rest) => {
                     let target = target.clone();
-                    let long = Long { target, head, parts, begun, rest, connection, started };
-                    Ended::Long(Box::new(long))
+                    let long =
+                        LongAnswer { target, head, parts, received, rest, connection, started };
+                    SendEnd::Long(Box::new(long))
                 }
                 BodyRead::Broken => {
                     ctx.broke_off(target);
-                    Ended::Broken
+                    SendEnd::Broken
                 }
             }
         }
     }
 }
 
-/// Keeps the connection of an answer that was read to its end, unless the request may still be on its way.
-fn keep(ctx: &Context, head: &TargetHead, is_success: bool, connection: Connection) {
-    let is_sent = is_success || ctx.request.body.len() <= SHORT_BODY;
+/// Keeps the connection of a completely read answer, unless the request body may still be in transit.
+fn keep_connection(ctx: &Context, head: &TargetHead, is_success: bool, connection: Connection) {
+    let is_sent = is_success || ctx.request.body.len() <= SHORT_BODY_BYTES;
     if is_sent && !head.closes {
         ctx.shared.connections.give_back(connection, head.idle_limit);
     }
 }
 
-/// How long one send is waited for: to the end where no other may follow.
-fn patience(ctx: &Context, attempts: &Attempts) -> Duration {
+/// Timeout of one send: the deadline where no other send may follow.
+fn send_timeout(ctx: &Context, attempts: &Attempts) -> Duration {
     let left = ctx.left();
     if !ctx.is_repeatable() || !attempts.may_repeat(ctx) {
         return left;
     }
     let usual = ctx.pool.times.lock().quantile(0.95).unwrap_or(0);
-    let usual = Duration::from_millis(PATIENCE_OF_USUAL * usual);
-    ctx.target_time().mul_f64(PATIENCE).max(usual).min(left)
+    let usual = Duration::from_millis(SEND_P95_FACTOR * usual);
+    ctx.target_time().mul_f64(SEND_FRACTION).max(usual).min(left)
 }
