--- a/crates/holdpointd/src/ingress/send.rs
+++ b/crates/holdpointd/src/ingress/send.rs
@@ -59,7 +59,7 @@
 }
 
 /// Outcome of a send.
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     /// There is no connection to the target, or no byte of the request was sent.
     NotSent,
     /// The gate refused the send.
@@ -82,24 +82,24 @@
     target: &TargetInstance,
     permit: Permit,
     added_headers: &Added<'_>,
-) -> Sent {
+) -> SendOutcome {
     let Context { shared, request, .. } = ctx;
     let Ok(mut connection) = shared.connections.take(target, ctx.reuse()).await else {
-        return Sent::NotSent;
+        return SendOutcome::NotSent;
     };
-    let Some(outgoing) = outgoing(request, added_headers) else { return Sent::NotSent };
+    let Some(outgoing) = outgoing(request, added_headers) else { return SendOutcome::NotSent };
     let within = ctx.within();
     let payload = Payload::Request { id: &request.id, within: &within };
     let sent = exchange(shared, &mut connection, (target, &permit), payload, outgoing).await;
     let (head, response) = match sent {
         Ok(it) => it,
-        Err(ExchangeError::Blocked(it)) => return Sent::Blocked(it),
-        Err(ExchangeError::NotSent) => return Sent::NotSent,
+        Err(ExchangeError::Blocked(it)) => return SendOutcome::Blocked(it),
+        Err(ExchangeError::NotSent) => return SendOutcome::NotSent,
         Err(ExchangeError::Broken) => {
             ctx.broke_off(target);
-            return Sent::Broken;
+            return SendOutcome::Broken;
         }
-        Err(ExchangeError::Crossed) => return Sent::Broken,
+        Err(ExchangeError::Crossed) => return SendOutcome::Broken,
     };
     if head.is_declined {
         let status = response.status();
@@ -107,12 +107,12 @@
             keep_connection(shared, connection, &response, &head, request.body.len());
         }
         let asks_backoff = head.notice.backoff.is_requested();
-        return Sent::Declined { status, asks_backoff };
+        return SendOutcome::Declined { status, asks_backoff };
     }
     if response.status().is_success() && !head.has_signature {
-        return Sent::Broken;
+        return SendOutcome::Broken;
     }
-    Sent::Answered { head, response: Box::new(response), connection }
+    SendOutcome::Answered { head, response: Box::new(response), connection }
 }
 
 /// Whether an answer asks this instance to back off.
--- a/crates/holdpointd/src/ingress/stream.rs
+++ b/crates/holdpointd/src/ingress/stream.rs
@@ -30,7 +30,7 @@
         gate::Barred,
         held::Results,
         limits::Permit,
-        send::{BACKOFF_CAUSE, Sent, asks_backoff, send},
+        send::{BACKOFF_CAUSE, SendOutcome, asks_backoff, send},
         stages::{self, FETCHED},
         unread::{Keeper, NotPassed},
     },
@@ -259,13 +259,13 @@
     let added_headers = ctx.added_headers(target, last_event, inputs);
     let sent = send(ctx, target, permit, &added_headers).await;
     let (head, response, connection) = match sent {
-        Sent::NotSent => return SendEnd::NotSent,
-        Sent::Blocked(it) => return SendEnd::Blocked(it),
-        Sent::Broken => return SendEnd::Broken,
-        Sent::Declined { asks_backoff: true, .. } => return SendEnd::BackedOff,
-        Sent::Declined { status: StatusCode::CONFLICT, .. } => return SendEnd::InputsGone,
-        Sent::Declined { .. } => return SendEnd::Declined,
-        Sent::Answered { head, response, connection } => (head, response, connection),
+        SendOutcome::NotSent => return SendEnd::NotSent,
+        SendOutcome::Blocked(it) => return SendEnd::Blocked(it),
+        SendOutcome::Broken => return SendEnd::Broken,
+        SendOutcome::Declined { asks_backoff: true, .. } => return SendEnd::BackedOff,
+        SendOutcome::Declined { status: StatusCode::CONFLICT, .. } => return SendEnd::InputsGone,
+        SendOutcome::Declined { .. } => return SendEnd::Declined,
+        SendOutcome::Answered { head, response, connection } => (head, response, connection),
     };
     let (parts, mut body) = response.into_parts();
     if !parts.status.is_success() {
--- a/crates/holdpointd/src/ingress/whole.rs
+++ b/crates/holdpointd/src/ingress/whole.rs
@@ -17,7 +17,7 @@
     context::Context,
     gate::Barred,
     limits::Permit,
-    send::{BACKOFF_CAUSE, BodyRead, SHORT_BODY_BYTES, Sent, asks_backoff, read_body, send},
+    send::{BACKOFF_CAUSE, BodyRead, SHORT_BODY_BYTES, SendOutcome, asks_backoff, read_body, send},
     stages,
     unread::Keeper,
 };
@@ -243,12 +243,12 @@
 ) -> SendEnd {
     let added_headers = ctx.added_headers(target, None, inputs);
     match send(ctx, target, permit, &added_headers).await {
-        Sent::NotSent => SendEnd::NotSent,
-        Sent::Blocked(it) => SendEnd::Blocked(it),
-        Sent::Declined { asks_backoff: true, .. } => SendEnd::BackedOff,
-        Sent::Declined { .. } => SendEnd::Declined,
-        Sent::Broken => SendEnd::Broken,
-        Sent::Answered { head, response, connection } => {
+        SendOutcome::NotSent => SendEnd::NotSent,
+        SendOutcome::Blocked(it) => SendEnd::Blocked(it),
+        SendOutcome::Declined { asks_backoff: true, .. } => SendEnd::BackedOff,
+        SendOutcome::Declined { .. } => SendEnd::Declined,
+        SendOutcome::Broken => SendEnd::Broken,
+        SendOutcome::Answered { head, response, connection } => {
             let started = Instant::now();
             let (parts, body) = response.into_parts();
             match read_body(&ctx.shared, body).await {
