--- a/crates/holdpointd/src/ingress/attempts.rs
+++ b/crates/holdpointd/src/ingress/attempts.rs
@@ -157,7 +157,7 @@
     }
 
     /// Chooses a target among those of the version that the roll-out assigns to the request. Where the new
-    /// version has none available, the old version is used.
+    /// version has none available, a target of another version is chosen.
     async fn choose_in_lane(
         &mut self,
         ctx: &Context,
--- a/crates/holdpointd/src/ingress/front.rs
+++ b/crates/holdpointd/src/ingress/front.rs
@@ -30,8 +30,8 @@
 
 /// Serves callers until the task is dropped.
 ///
-/// No connection is accepted once connections are being closed: the end of the process would cut its requests
-/// off, while a closed port makes callers use another instance at once.
+/// Stops accepting once connections are being closed: the end of the process would cut off requests on new
+/// ones, while a closed port makes callers use another instance at once.
 pub(crate) async fn callers(shared: Arc<IngressShared>, listener: TcpListener) {
     let mut closing = shared.closing.subscribe();
     let accepting = accept(listener, |stream| {
--- a/crates/holdpointd/src/ingress/links.rs
+++ b/crates/holdpointd/src/ingress/links.rs
@@ -307,10 +307,10 @@
             // The answer to a ping would queue behind the large one.
             continue;
         }
-        let known = shared.configuration().version;
+        let own_version = shared.configuration().version;
         let begun = Instant::now();
         let limit = links.with_distance(&address, PING_TIMEOUT);
-        match tokio::time::timeout(limit, check(&shared, &address, &link, limit)).await {
+        match tokio::time::timeout(limit, check_peer(&shared, &address, &link, limit)).await {
             Ok(Ok(status)) => {
                 links.record_round_trip(&address, begun.elapsed());
                 links.trust(&address);
@@ -318,7 +318,7 @@
                     let (times, loads) = (status.stage_times, status.stage_loads);
                     shared.take_stage_loads(StageLoads { times, loads });
                 }
-                if known < status.version {
+                if own_version < status.version {
                     drop(tokio::spawn(catch_up(shared.clone(), address.clone())));
                 }
             }
@@ -331,20 +331,20 @@
 }
 
 /// Pings a peer, and returns its configuration version and loads.
-async fn check(
+async fn check_peer(
     shared: &IngressShared,
     address: &str,
     link: &Link,
     limit: Duration,
 ) -> Result<Standing, client::RpcError> {
-    let known = shared.configuration().version;
+    let own_version = shared.configuration().version;
     let own_address = shared.settings.listen.peers.clone();
     match shared.peers.protocol_of(address) {
         0 => {
-            let version = link.client.ping(context_for(limit), known, own_address).await?;
+            let version = link.client.ping(context_for(limit), own_version, own_address).await?;
             Ok(Standing { version, ..Standing::default() })
         }
-        _ => link.client.check(context_for(limit), known, own_address).await,
+        _ => link.client.check(context_for(limit), own_version, own_address).await,
     }
 }
 
