--- a/crates/holdpoint-core/src/batcher/near.rs
+++ b/crates/holdpoint-core/src/batcher/near.rs
@@ -1,70 +1,70 @@
-//! Which pieces wait for a target in the failure domain where their inputs lie.
+//! Decides which items wait for a target in their preferred failure domain.
 //!
-//! Moving large inputs costs, so a piece waits for a near target as long as that one makes it in time.
-//! In a surge nothing is in time anywhere; then a piece moves only where another domain's queue is so
-//! much shorter that the move saves the time of a call. So domains that are loaded alike exchange
-//! nothing, and one that has lost its targets is helped by the others.
+//! Moving large inputs or results between domains is expensive, so an item waits for a target in
+//! its own domain unless it would be late there and on time elsewhere, or another domain's queue is
+//! shorter by more than the time of a full call. So equally loaded domains exchange few items, and a
+//! domain that lost its targets gets help.
 
 use crate::{ids::Millis, pieces::Sizes};
 
-/// How much before its due time a piece is to be made at a near target, in milliseconds: calls end
-/// about that much later than stated.
-const MARGIN_MS: Millis = 50;
+/// Margin before the due time by which a target in the item's own domain must finish, in
+/// milliseconds; calls often end later than their nominal time.
+const DUE_MARGIN_MS: Millis = 50;
 
-/// The targets of one failure domain, and what waits for them.
+/// Targets of one failure domain and the items that prefer them.
 #[derive(Clone, Copy, Debug, Default)]
-struct Near {
+struct DomainQueue {
     targets: usize,
-    /// When the first of them is expected to take a call.
+    /// When the first target is expected to be free.
     free_at: Millis,
-    /// Pieces whose inputs lie here.
+    /// Items that prefer this domain.
     waiting: usize,
 }
 
-impl Near {
-    /// Adds a target that is expected to take a call at a time.
+impl DomainQueue {
+    /// Adds a target that is expected to be free at `free_at`.
     fn add(&mut self, free_at: Millis) {
         self.targets += 1;
         self.free_at = self.free_at.min(free_at);
     }
 }
 
-/// What waits in each failure domain at a moment.
+/// Targets of every failure domain and the items that prefer them, at one moment.
 #[derive(Clone, Debug)]
-pub(super) struct NearQueues<'a> {
+pub(super) struct DomainQueues<'a> {
     now: Millis,
-    domains: Vec<(&'a str, Near)>,
-    /// Time in which one target makes one piece in a full call, in milliseconds.
-    piece_ms: f64,
+    domains: Vec<(&'a str, DomainQueue)>,
+    /// Time per item of one target in a full call, in milliseconds.
+    item_ms: f64,
     /// Time of a full call, in milliseconds.
     full_ms: f64,
-    /// Time of a call of one piece, in milliseconds.
+    /// Time of a call with one item, in milliseconds.
     call_ms: Millis,
 }
 
-/// A piece with large inputs, and how many stand before it for the same failure domain.
+/// An item with a preferred failure domain, and the number of items ahead of it for that domain.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct NearPiece<'a> {
+pub(super) struct DomainItem<'a> {
     pub(super) domain: &'a str,
-    /// When it should be there, in time or, once that is over, late.
+    /// Due time, or the later one once the item cannot be on time.
     pub(super) due: Millis,
     pub(super) ahead: usize,
 }
 
-impl<'a> NearQueues<'a> {
-    /// Makes the queues of the domains of `targets`, each given with the time when it is expected to
-    /// take a call, and of the pieces that wait, by the domain of their inputs.
+impl<'a> DomainQueues<'a> {
+    /// Creates the queues from `targets`, given as failure domain and time at which the target is
+    /// expected to be free, and from the preferred domains of the waiting items.
     pub(super) fn new(
         now: Millis,
         sizes: &Sizes,
         targets: impl Iterator<Item = (&'a str, Millis)>,
         waiting: impl Iterator<Item = &'a str>,
-    ) -> NearQueues<'a> {
-        let mut domains: Vec<(&str, Near)> = Vec::new();
+    ) -> DomainQueues<'a> {
+        let mut domains: Vec<(&str, DomainQueue)> = Vec::new();
         for (domain, free_at) in targets {
             match domains.iter_mut().find(|it| it.0 == domain) {
                 Some((_, it)) => it.add(free_at),
-                None => domains.push((domain, Near { targets: 1, free_at, waiting: 0 })),
+                None => domains.push((domain, DomainQueue { targets: 1, free_at, waiting: 0 })),
             }
         }
         for domain in waiting {
@@ -72,29 +72,29 @@
                 it.waiting += 1;
             }
         }
-        let full_ms = sizes.stated_ms(sizes.most());
+        let full_ms = sizes.stated_ms(sizes.max_items());
         let call_ms = sizes.stated_ms(1) as Millis;
-        NearQueues { now, domains, piece_ms: full_ms / sizes.most() as f64, full_ms, call_ms }
+        DomainQueues { now, domains, item_ms: full_ms / sizes.max_items() as f64, full_ms, call_ms }
     }
 
-    /// Whether a piece may be made by a free target of another domain than that of its inputs.
-    pub(super) fn may_move(&self, piece: NearPiece<'_>, to: &str) -> bool {
-        let Some(home) = self.of(piece.domain) else { return true };
-        let there = self.of(to).unwrap_or_default();
-        let home_ms = self.wait_ms(&home, piece.ahead);
+    /// Whether an item may go to a free target outside its preferred domain.
+    pub(super) fn may_move(&self, item: DomainItem<'_>, to: &str) -> bool {
+        let Some(home) = self.queue_of(item.domain) else { return true };
+        let there = self.queue_of(to).unwrap_or_default();
+        let home_ms = self.wait_ms(&home, item.ahead);
         let there_ms = self.wait_ms(&there, there.waiting);
-        let is_late = piece.due < self.now + home_ms as Millis + self.call_ms + MARGIN_MS;
-        let is_saved = is_late && self.now + self.call_ms <= piece.due && there_ms < home_ms;
+        let is_late = item.due < self.now + home_ms as Millis + self.call_ms + DUE_MARGIN_MS;
+        let is_saved = is_late && self.now + self.call_ms <= item.due && there_ms < home_ms;
         is_saved || there_ms + self.full_ms < home_ms
     }
 
-    fn of(&self, domain: &str) -> Option<Near> {
+    fn queue_of(&self, domain: &str) -> Option<DomainQueue> {
         self.domains.iter().find(|it| it.0 == domain).map(|it| it.1)
     }
 
-    /// Wait of a piece for a domain's targets, where so many stand before it, in milliseconds.
-    fn wait_ms(&self, near: &Near, ahead: usize) -> f64 {
-        let free_ms = near.free_at.saturating_sub(self.now) as f64;
-        free_ms + ahead as f64 * self.piece_ms / near.targets.max(1) as f64
+    /// Waiting time of an item with `ahead` items before it at a domain's targets, in milliseconds.
+    fn wait_ms(&self, queue: &DomainQueue, ahead: usize) -> f64 {
+        let free_ms = queue.free_at.saturating_sub(self.now) as f64;
+        free_ms + ahead as f64 * self.item_ms / queue.targets.max(1) as f64
     }
 }
--- a/crates/holdpoint-core/src/batcher/pack.rs
+++ b/crates/holdpoint-core/src/batcher/pack.rs
@@ -1,58 +1,56 @@
-//! Which of the pieces that wait go into a call, and at which target.
+//! Selects the waiting items and the target of the next call.
 
 use std::collections::BTreeMap;
 
 use super::{
     Batcher,
-    near::{NearPiece, NearQueues},
-    targets::{SLOW, Target},
+    near::{DomainItem, DomainQueues},
+    targets::{SLOW_RATIO, Target},
 };
 use crate::{directory::TargetId, ids::Millis, pieces::Waiting};
 
-/// Moved bytes below which it does not matter where a piece is made.
-const NEAR_BYTES: u64 = 200_000;
-/// Part of what the targets' next calls take, above which a service has a backlog: calls wait to be
-/// worth their time, and slow targets are used too.
-pub(super) const BACKLOG: f64 = 0.33;
-/// A call of less than one in so many of its most pieces is small.
-const SMALL_CALL: usize = 2;
-/// How long a target of a service with a backlog waits for room for more than a small call, in
-/// milliseconds. At 0, 85.3 in place of 85.0 % of the requests of 15 plays were in time, which is within
-/// the noise.
-const GATHER_MS: Millis = 80;
+/// Bytes to move between failure domains below which an item has no preferred one.
+const MIN_NEAR_BYTES: u64 = 200_000;
+/// Fraction of the items that the targets' next calls can carry above which a service has a
+/// backlog: small calls are delayed, and slow targets are used too.
+pub(super) const BACKLOG_FRACTION: f64 = 0.33;
+/// A call with fewer than the allowed number of items divided by this is small.
+const SMALL_CALL_DIVISOR: usize = 2;
+/// How long an idle target of a service with a backlog delays a small call, in milliseconds.
+const SMALL_CALL_DELAY_MS: Millis = 80;
 
 impl Batcher {
-    /// Whether more waits than a part of what the targets' next calls take.
-    pub(super) fn has_backlog(&self, part: f64) -> bool {
-        part * f64::from(self.sizes.pieces) * (self.usable() as f64) < self.waiting.len() as f64
+    /// Whether more items wait than this fraction of what the targets' next calls can carry.
+    pub(super) fn has_backlog(&self, fraction: f64) -> bool {
+        fraction * f64::from(self.sizes.pieces) * (self.usable() as f64) < self.waiting.len() as f64
     }
 
-    /// The best call that can be made now: the indices of its pieces, and its target. Of targets that would
-    /// all take the same pieces, the fastest one is packed for, since in a fleet of thousands hardly any two
-    /// idle ones differ.
+    /// The best call that can be made now: the indices of its items, and its target. Only the
+    /// fastest of the targets that would take the same items is considered, since in large fleets
+    /// most idle targets are alike.
     pub(super) fn best_call(&self, now: Millis) -> Option<(Vec<usize>, TargetId)> {
-        let queues = self.near_queues(now);
+        let queues = self.domain_queues(now);
         let waiting_bytes: u64 = self.waiting.iter().map(|it| it.bytes).sum();
-        let mut kinds: BTreeMap<Kind<'_>, (&TargetId, &Target)> = BTreeMap::new();
+        let mut classes: BTreeMap<TargetClass<'_>, (&TargetId, &Target)> = BTreeMap::new();
         for (id, target) in self.free_targets(now) {
-            let kind = Kind {
+            let class = TargetClass {
                 domain: &target.domain,
-                is_spare: target.is_leaving,
+                is_fallback: target.is_closed,
                 room: self.room(target).min(waiting_bytes),
-                slow: (SLOW <= target.slowness).then_some(id),
-                has_gathered: has_gathered(now, target),
+                slow: (SLOW_RATIO <= target.slowness).then_some(id),
+                has_waited: has_waited(now, target),
             };
-            let best = kinds.entry(kind).or_insert((id, target));
+            let best = classes.entry(class).or_insert((id, target));
             if (speed(now, best.1), best.0) < (speed(now, target), id) {
                 *best = (id, target);
             }
         }
-        let packed = kinds.into_values().map(|(id, it)| (self.pack(now, it, &queues), it, id));
+        let packed = classes.into_values().map(|(id, it)| (self.pack(now, it, &queues), it, id));
         let best = packed.max_by_key(|it| (self.score(now, &it.0, it.1), it.2));
         best.filter(|it| !it.0.is_empty()).map(|it| (it.0, it.2.clone()))
     }
 
-    /// Room that is left at a target for results, in bytes.
+    /// Free room for results at a target, in bytes.
     fn room(&self, target: &Target) -> u64 {
         match self.sizes.room_bytes {
             0 => u64::MAX,
@@ -60,13 +58,13 @@
         }
     }
 
-    /// Indices of the pieces that a call at a target would take: whole groups, as far as they fit.
-    fn pack(&self, now: Millis, target: &Target, queues: &NearQueues<'_>) -> Vec<usize> {
+    /// Indices of the items that a call to a target would carry: whole groups, as far as they fit.
+    fn pack(&self, now: Millis, target: &Target, queues: &DomainQueues<'_>) -> Vec<usize> {
         let room = self.room(target);
         let indices = self.pack_into(now, target, room, queues);
-        let is_small = indices.len() * SMALL_CALL < self.sizes.pieces as usize;
-        if is_small && self.has_backlog(BACKLOG) && !has_gathered(now, target) {
-            // Room comes back within the time of a small call, and then more fits in.
+        let is_small = indices.len() * SMALL_CALL_DIVISOR < self.sizes.pieces as usize;
+        if is_small && self.has_backlog(BACKLOG_FRACTION) && !has_waited(now, target) {
+            // Results are released within the time of a small call, and then more items fit.
             return Vec::new();
         }
         indices
@@ -77,80 +75,85 @@
         now: Millis,
         target: &Target,
         mut room: u64,
-        queues: &NearQueues<'_>,
+        queues: &DomainQueues<'_>,
     ) -> Vec<usize> {
-        let most = self.sizes.most();
+        let max_items = self.sizes.max_items();
         let mut indices = Vec::new();
-        // Pieces passed so far, by the failure domain of their inputs.
+        // Items visited so far, by their preferred failure domain.
         let mut passed: BTreeMap<&str, usize> = BTreeMap::new();
         let mut from = 0;
         let mut earliest_due = None;
-        while from < self.waiting.len() && indices.len() < most {
+        while from < self.waiting.len() && indices.len() < max_items {
             let group = self.waiting[from].group;
-            let same = self.waiting[from..].iter().take_while(|it| it.group == group).count();
-            let pieces = &self.waiting[from..from + same];
-            let bytes: u64 = pieces.iter().map(|it| it.bytes).sum();
-            let end = now + self.sizes.stated_ms(indices.len() + same) as Millis;
-            // What is late does not make a call so long that it is late for others.
-            let fits_in = !pieces[0].is_late || earliest_due.is_none_or(|it| end <= it);
+            let group_len = self.waiting[from..].iter().take_while(|it| it.group == group).count();
+            let items = &self.waiting[from..from + group_len];
+            let bytes: u64 = items.iter().map(|it| it.bytes).sum();
+            let end = now + self.sizes.stated_ms(indices.len() + group_len) as Millis;
+            // A late item must not make the call too long for those on time.
+            let fits = !items[0].is_late || earliest_due.is_none_or(|it| end <= it);
             let is_shared_call = !indices.is_empty();
-            let mut may_go = fits_in && self.may_go(now, &pieces[0], target);
-            // Its target may end with it, and so would the pieces beside it.
-            may_go &= !(pieces[0].is_alone && is_shared_call);
-            if let Some(domain) = near_domain(&pieces[0]) {
+            let mut is_eligible = fits && self.is_eligible(now, &items[0], target);
+            // The target may crash on it, which would fail all other items of the call.
+            is_eligible &= !(items[0].is_alone && is_shared_call);
+            if let Some(domain) = preferred_domain(&items[0]) {
                 let ahead = passed.entry(domain).or_default();
-                let piece = NearPiece { domain, due: pieces[0].turn, ahead: *ahead };
-                *ahead += same;
-                may_go &= domain == target.domain || queues.may_move(piece, &target.domain);
+                let item = DomainItem { domain, due: items[0].effective_due, ahead: *ahead };
+                *ahead += group_len;
+                is_eligible &= domain == target.domain || queues.may_move(item, &target.domain);
             }
-            if may_go && bytes <= room && indices.len() + same <= most {
+            if is_eligible && bytes <= room && indices.len() + group_len <= max_items {
                 room -= bytes;
-                indices.extend(from..from + same);
-                if !pieces[0].is_late {
-                    earliest_due = earliest_due.into_iter().chain([pieces[0].due]).min();
+                indices.extend(from..from + group_len);
+                if !items[0].is_late {
+                    earliest_due = earliest_due.into_iter().chain([items[0].due]).min();
                 }
-            } else if may_go && indices.is_empty() && self.must_split(same, bytes) {
-                for (index, piece) in pieces.iter().enumerate().take(most) {
-                    if room < piece.bytes {
+            } else if is_eligible && indices.is_empty() && self.may_split(group_len, bytes) {
+                for (index, item) in items.iter().enumerate().take(max_items) {
+                    if room < item.bytes {
                         break;
                     }
-                    room -= piece.bytes;
+                    room -= item.bytes;
                     indices.push(from + index);
                 }
             }
-            if pieces[0].is_alone && !is_shared_call && !indices.is_empty() {
+            if items[0].is_alone && !is_shared_call && !indices.is_empty() {
                 break;
             }
-            from += same;
+            from += group_len;
         }
         indices
     }
 
-    /// Whether a group fits into no call as a whole.
-    pub(super) fn must_split(&self, pieces: usize, bytes: u64) -> bool {
+    /// Whether a group may be split because it needs at least half of a call or over half of the room.
+    pub(super) fn may_split(&self, items: usize, bytes: u64) -> bool {
         let is_large = self.sizes.room_bytes != 0 && self.sizes.room_bytes < 2 * bytes;
-        self.sizes.pieces as usize <= 2 * pieces || is_large
+        self.sizes.pieces as usize <= 2 * items || is_large
     }
 
-    /// Whether a piece may be made at a target as slow as this one.
-    fn may_go(&self, now: Millis, piece: &Waiting, target: &Target) -> bool {
-        if !self.is_allowed(piece, target) {
+    /// Whether an item may go to a target, by its regions and the target's slowness.
+    fn is_eligible(&self, now: Millis, item: &Waiting, target: &Target) -> bool {
+        if !self.is_allowed(item, target) {
             return false;
         }
-        // Only what will be in time at a slow one, or nowhere.
+        // A slow target gets only items that it can finish on time, or that are late at any target.
         let slow_ms = (self.sizes.stated_ms(1) * target.slowness) as Millis;
-        target.slowness < SLOW || self.sizes.is_late(now, piece) || now + slow_ms <= piece.due
+        target.slowness < SLOW_RATIO || self.sizes.is_late(now, item) || now + slow_ms <= item.due
     }
 
-    /// What waits in each failure domain.
-    pub(super) fn near_queues(&self, now: Millis) -> NearQueues<'_> {
-        let usable = self.targets.values().filter(|it| !it.is_leaving && it.suspect_until <= now);
+    /// Targets of every failure domain and the items that prefer them.
+    pub(super) fn domain_queues(&self, now: Millis) -> DomainQueues<'_> {
+        let usable = self.targets.values().filter(|it| !it.is_closed && it.ejected_until <= now);
         let targets = usable.map(|it| (it.domain.as_str(), self.free_at(now, it)));
-        NearQueues::new(now, &self.sizes, targets, self.waiting.iter().filter_map(near_domain))
+        DomainQueues::new(
+            now,
+            &self.sizes,
+            targets,
+            self.waiting.iter().filter_map(preferred_domain),
+        )
     }
 
-    /// When a target is expected to take its next call. One that is overdue is expected to take as long
-    /// again as it is overdue.
+    /// When a target is expected to be free. An overdue call is expected to take as much longer as
+    /// it is overdue already.
     fn free_at(&self, now: Millis, target: &Target) -> Millis {
         if target.calls < self.sizes.calls.max(1) {
             return now;
@@ -159,42 +162,42 @@
         target.busy_until.max(now) + overdue
     }
 
-    /// How good a call would be: the most pieces, then the most large ones in their failure
-    /// domain, then the fastest target.
+    /// Rank of a call: by the number of items, then by the bytes that need not move between failure
+    /// domains, then by the speed of the target.
     fn score(&self, now: Millis, indices: &[usize], target: &Target) -> (usize, u64, i64) {
-        let is_near = |it: &&Waiting| NEAR_BYTES <= it.near_bytes && it.domain == target.domain;
-        let pieces = indices.iter().map(|it| &self.waiting[*it]);
-        let near_bytes = pieces.filter(is_near).map(|it| it.near_bytes).sum();
+        let is_near = |it: &&Waiting| MIN_NEAR_BYTES <= it.near_bytes && it.domain == target.domain;
+        let items = indices.iter().map(|it| &self.waiting[*it]);
+        let near_bytes = items.filter(is_near).map(|it| it.near_bytes).sum();
         (indices.len(), near_bytes, speed(now, target))
     }
 }
 
-/// What decides which pieces a call at a target would take: targets that have it in common would take the
-/// same ones.
+/// Properties that determine which items a call to a target carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Kind<'a> {
+struct TargetClass<'a> {
     domain: &'a str,
-    /// Whether it gets only pieces that are confined.
-    is_spare: bool,
-    /// Room for results, as far as what waits could use it.
+    /// Whether it gets only confined items.
+    is_fallback: bool,
+    /// Free room for results, limited to what the waiting items need.
     room: u64,
-    /// The target itself, where its pieces depend on how slow it is.
+    /// The target itself, if it is slow: its items then depend on its exact slowness.
     slow: Option<&'a TargetId>,
-    has_gathered: bool,
+    has_waited: bool,
 }
 
-/// Whether a target has waited long enough for more than a small call.
-fn has_gathered(now: Millis, target: &Target) -> bool {
-    target.idle_since + GATHER_MS <= now
+/// Whether a target has been idle long enough for a small call.
+fn has_waited(now: Millis, target: &Target) -> bool {
+    target.idle_since + SMALL_CALL_DELAY_MS <= now
 }
 
-/// How fast a target is, in steps of a tenth: smaller differences are noise.
+/// Speed of a target in steps of a tenth, since smaller differences are noise.
 fn speed(now: Millis, target: &Target) -> i64 {
     -(target.slowness_at(now) * 10.0) as i64
 }
 
-/// Failure domain where a piece is best made; none where that does not matter.
-fn near_domain(piece: &Waiting) -> Option<&str> {
-    let is_bound = NEAR_BYTES <= piece.near_bytes && !piece.domain.is_empty();
-    (is_bound && piece.is_allowed(&piece.domain)).then_some(piece.domain.as_str())
+/// Failure domain where an item should be processed; `None` if too few bytes would move, or its
+/// regions exclude that domain.
+fn preferred_domain(item: &Waiting) -> Option<&str> {
+    let is_large = MIN_NEAR_BYTES <= item.near_bytes && !item.domain.is_empty();
+    (is_large && item.is_allowed(&item.domain)).then_some(item.domain.as_str())
 }
--- a/crates/holdpoint-core/src/pieces.rs
+++ b/crates/holdpoint-core/src/pieces.rs
@@ -1,4 +1,4 @@
-//! Pieces of stages, the calls that carry them, and how large and long these are.
+//! Work items of stages, the calls that carry them, and the limits and costs of these calls.
 
 use crate::{
     confinement::{Within, is_within},
@@ -6,125 +6,126 @@
     ids::Millis,
 };
 
-/// Identifies a piece that was offered.
+/// Identifies a work item that was offered to a batcher.
 pub type Ticket = u64;
 
-/// A piece that waits.
+/// A work item in the queue of a batcher.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Waiting {
     /// Ticket.
     pub ticket: Ticket,
-    /// Pieces of one group are wanted together: a result of one is of no use, and only takes room,
-    /// until all are made.
+    /// Group of items that are needed together: their results are of no use, and only take room,
+    /// until the whole group is complete.
     pub group: u64,
-    /// Time by which its result should be there, for the request to be in time.
+    /// Time by which its result is needed for the request to be on time.
     pub due: Millis,
-    /// Time by which its result must be there, for the request to be served at all.
+    /// Time by which its result is needed for the request to be served at all.
     pub deadline: Millis,
-    /// Time by which it is made once it cannot be in time any more. Before its deadline, so that the
-    /// stages after it, and whatever goes wrong there, have a part of the time that is left.
+    /// Due time that applies once `due` cannot be met. It is earlier than the deadline, to leave
+    /// time for later stages and retries.
     pub late_due: Millis,
-    /// Rank of its request; 0 goes first.
+    /// Rank of its request; items with equal due times go in ascending order.
     pub rank: u32,
-    /// Room that its result takes, in bytes.
+    /// Room that its result needs, in bytes.
     pub bytes: u64,
-    /// Failure domain that most of its inputs come from or its result goes to; any where empty.
+    /// Failure domain that holds most of its inputs or receives its result; empty if it has no
+    /// preference.
     pub domain: String,
-    /// Bytes that are moved between failure domains if it is made in another one.
+    /// Bytes that move between failure domains if it is processed outside `domain`.
     pub near_bytes: u64,
-    /// When the results that it is made from expire at their makers; never where it has none.
+    /// When its first input expires; `None` if it has no inputs.
     pub inputs_until: Option<Millis>,
-    /// What its target must be within, where its request is confined to regions.
+    /// Bounds for its target, if its request is confined to regions.
     pub within: Within,
-    /// Whether its call carries no pieces of other requests.
+    /// Whether it must not share a call with items of other requests.
     pub is_alone: bool,
     /// When it was offered; set by the batcher.
     pub offered: Millis,
-    /// Wait predicted then, in milliseconds; set by the batcher.
+    /// Wait predicted at that time, in milliseconds; set by the batcher.
     pub predicted_wait: f64,
-    /// Time in which it was predicted to be made, in milliseconds; none where it was late already; set by the
-    /// batcher.
+    /// Time to its completion predicted at that time, in milliseconds; `None` if it was late
+    /// already. Set by the batcher.
     pub predicted_ms: Option<f64>,
-    /// Whether it cannot be in time any more; set by the batcher.
+    /// Whether it can no longer be on time; set by the batcher.
     pub is_late: bool,
-    /// Time that decides when it has its turn; set by the batcher.
-    pub turn: Millis,
+    /// Time by which items are ordered; set by the batcher.
+    pub effective_due: Millis,
 }
 
 impl Waiting {
-    /// Whether it may be made in a failure domain.
+    /// Whether it may be processed in a failure domain.
     pub(crate) fn is_allowed(&self, domain: &str) -> bool {
         is_within(self.within.as_deref(), domain)
     }
 }
 
-/// A call to make.
+/// A call to a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
     /// Target to call.
     pub target: TargetId,
-    /// Pieces in it.
+    /// Items of the call.
     pub pieces: Vec<Waiting>,
-    /// Pieces that wait still.
+    /// Number of items left in the queue.
     pub left: usize,
-    /// Room taken at the target, these pieces included, in bytes.
+    /// Room reserved and used at the target, including these items, in bytes.
     pub used_bytes: u64,
-    /// Sizes that it was made by.
+    /// Limits and nominal costs that applied when the call was planned.
     pub sizes: Sizes,
-    /// Whether other instances were seen to call the target of late, so that the call may wait there.
+    /// Whether other instances recently called the target too, so that the call may queue there.
     pub is_shared: bool,
 }
 
 impl Call {
-    /// Whether as much waits behind it as another call carries.
+    /// Whether enough items wait for another full call.
     pub fn has_backlog(&self) -> bool {
-        self.sizes.most() <= self.left
+        self.sizes.max_items() <= self.left
     }
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// With an answer after this time, in milliseconds.
+    /// The target answered after this time, in milliseconds.
     Answered(Millis),
-    /// The target was full and has done nothing.
+    /// The target was full and did not start the call.
     Full,
     /// The target failed.
     Failed,
-    /// The target gave no answer within this time, in milliseconds.
+    /// The target did not answer within this time, in milliseconds.
     Silent(Millis),
 }
 
-/// Sizes of a service's calls.
+/// Limits and nominal costs of a service's calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sizes {
-    /// Calls at one target at once.
+    /// Maximum number of concurrent calls to one target.
     pub calls: u32,
-    /// Most pieces in one call.
+    /// Maximum number of items in one call.
     pub pieces: u32,
-    /// Time of a call without its pieces, in milliseconds.
+    /// Fixed time of a call, in milliseconds.
     pub call_ms: f64,
-    /// Time of each piece, in milliseconds.
+    /// Additional time of each item, in milliseconds.
     pub piece_ms: f64,
-    /// Room for results at one target, in bytes; 0 where it is not bounded.
+    /// Room for results at one target, in bytes; 0 if unlimited.
     pub room_bytes: u64,
-    /// How long a result is kept, in milliseconds.
+    /// How long a target stores a result, in milliseconds.
     pub keep_ms: Millis,
 }
 
 impl Sizes {
-    /// Most pieces in one call; one where the configuration says none.
-    pub(crate) fn most(&self) -> usize {
+    /// Maximum number of items in one call, at least 1.
+    pub(crate) fn max_items(&self) -> usize {
         self.pieces.max(1) as usize
     }
 
-    /// Whether a piece would be late even if a call of its own began now.
-    pub(crate) fn is_late(&self, now: Millis, piece: &Waiting) -> bool {
-        piece.due < now + self.stated_ms(1) as Millis
+    /// Whether an item would be late even if a call of its own started now.
+    pub(crate) fn is_late(&self, now: Millis, item: &Waiting) -> bool {
+        item.due < now + self.stated_ms(1) as Millis
     }
 
-    /// Time of a call with so many pieces at a target of the usual speed, in milliseconds.
-    pub fn stated_ms(&self, pieces: usize) -> f64 {
-        self.call_ms + self.piece_ms * pieces as f64
+    /// Nominal time of a call with `items` items, in milliseconds.
+    pub fn stated_ms(&self, items: usize) -> f64 {
+        self.call_ms + self.piece_ms * items as f64
     }
 }
