--- a/crates/holdpoint-core/src/pipeline.rs
+++ b/crates/holdpoint-core/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! Pipelines as graphs of stages: checks, order of work, and the inputs of a stage.
+//! Pipelines as graphs of stages: validation, execution order and stage inputs.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -32,25 +32,25 @@
     pub after: Vec<usize>,
 }
 
-/// A pipeline that has been checked.
+/// A validated pipeline.
 #[derive(Clone, Debug)]
 pub struct Graph {
-    /// Patience of a caller that states none, in milliseconds.
+    /// Latency that callers tolerate if they state none, in milliseconds.
     pub patience_ms: u64,
-    /// Share of requests to be answered once, whole and in time.
+    /// Fraction of requests that should be answered once, completely and on time.
     pub objective: f64,
-    /// Stages in the order of declaration; the last one gives the answer.
+    /// Stages in the order of declaration; the last one returns the answer.
     pub steps: Vec<Step>,
-    /// Indices of the stages in an order in which each follows those that it needs.
+    /// Stage indices in topological order.
     pub order: Vec<usize>,
 }
 
-/// An input that the caller's body does not hold.
+/// Name of a field that the caller's input lacks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MissingField(pub String);
 
 impl Graph {
-    /// Checks a pipeline and resolves its references; returns every fault with its path.
+    /// Validates a pipeline and resolves its references; the error lists every fault with its path.
     pub fn new(pipeline: &Pipeline) -> Result<Graph, Vec<Fault>> {
         let mut faults = Vec::new();
         let names = stage_indices(pipeline, &mut faults);
@@ -62,8 +62,8 @@
             .collect();
         let order = order(&steps);
         if order.len() < steps.len() {
-            let stuck = (0..steps.len()).filter(|it| !order.contains(it));
-            faults.extend(stuck.map(|it| cycle_fault(it, &steps[it].stage.name)));
+            let cyclic = (0..steps.len()).filter(|it| !order.contains(it));
+            faults.extend(cyclic.map(|it| cycle_fault(it, &steps[it].stage.name)));
         }
         if !faults.is_empty() {
             return Err(faults);
@@ -72,18 +72,17 @@
         Ok(Graph { patience_ms, objective, steps, order })
     }
 
-    /// Whether every stage's call may be made more than once.
+    /// Whether the calls of all stages may be repeated.
     pub fn is_repeatable(&self) -> bool {
         self.steps.iter().all(|it| it.stage.repeatable)
     }
 
-    /// Index of the stage that gives the answer.
+    /// Index of the stage that returns the answer.
     pub fn last(&self) -> usize {
         self.steps.len() - 1
     }
 
-    /// Stages that cannot start before the stage at `index` has ended, itself included, along the
-    /// longest chain to the answer.
+    /// Longest chain of dependent stages from the stage at `index`, itself included, to the answer.
     pub fn chain_from(&self, index: usize) -> Vec<usize> {
         let mut longest: HashMap<usize, Vec<usize>> = HashMap::new();
         for &at in self.order.iter().rev() {
@@ -99,7 +98,7 @@
     }
 }
 
-/// Inputs of a step, from the caller's input and the outputs so far.
+/// Inputs of a step, from the caller's input and the outputs of earlier stages.
 pub fn inputs(
     step: &Step,
     input: &Value,
--- a/crates/holdpoint-core/src/stage_graph.rs
+++ b/crates/holdpoint-core/src/stage_graph.rs
@@ -1,4 +1,4 @@
-//! The stages before a request's own service: which pieces are to be made, from what, and when.
+//! Graph of the stages that run before a request's own service, and the work items of each stage.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,34 @@
 
 use crate::{ids::Millis, ingress::StageStep};
 
-/// Where a piece's work comes from.
+/// Input of a work item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceSource {
-    /// From the request's own key.
+    /// The request's own key.
     Key(String),
-    /// From the results with these handles.
+    /// The results with these handles.
     Inputs(Vec<String>),
 }
 
-/// One piece to make.
+/// A work item to process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceWork {
     /// Id of the request.
     pub request: String,
     /// Index of the stage.
     pub stage: usize,
-    /// Index of the piece within the stage.
+    /// Index of the item within the stage.
     pub piece: u32,
-    /// What it is made from.
+    /// Its input.
     pub source: PieceSource,
 }
 
-/// Why a piece has no result.
+/// Why a work item has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoResult {
-    /// Its time was over at its turn.
+    /// Its deadline could not be met.
     Late,
-    /// An input is gone.
+    /// An input is no longer stored.
     InputGone,
     /// The target had no room for it.
     NoRoom,
@@ -41,61 +41,62 @@
     Failed,
     /// No target or instance could be reached.
     Unreachable,
-    /// Another instance batches the service's pieces now.
+    /// Another instance now batches the items of the service.
     Moved,
-    /// Its request can be served, but late. Asked for again as a late one, it is made in the time that others
-    /// leave. Told only to those who accept it.
+    /// Its request can be served, but only late. If it is requested again as late, it is processed
+    /// in the time that others leave. Sent only to callers that accept this answer.
     OnlyLate,
-    /// It would be too late for its request, which may come back after so many milliseconds.
+    /// It would be too late for its request, which may retry after this many milliseconds.
     Overload(Millis),
 }
 
-/// The graph of one request: the route's stages with the request's number of pieces.
+/// Stages of a request's route, with the number of work items of each.
 #[derive(Clone, Debug)]
 pub struct StageGraph {
-    after: Vec<Vec<usize>>,
-    pieces: Vec<u32>,
+    dependencies: Vec<Vec<usize>>,
+    items: Vec<u32>,
 }
 
 impl StageGraph {
-    /// Makes the graph; a stage with no pieces is left out.
-    pub fn new(steps: &[StageStep], pieces: &[u32]) -> StageGraph {
-        let pieces = (0..steps.len()).map(|it| pieces.get(it).copied().unwrap_or(1)).collect();
-        StageGraph { after: steps.iter().map(|it| it.after.clone()).collect(), pieces }
+    /// Creates the graph; stages without items are skipped.
+    pub fn new(steps: &[StageStep], items: &[u32]) -> StageGraph {
+        let items = (0..steps.len()).map(|it| items.get(it).copied().unwrap_or(1)).collect();
+        StageGraph { dependencies: steps.iter().map(|it| it.after.clone()).collect(), items }
     }
 
-    /// Number of stages, those left out included.
+    /// Number of stages, including skipped ones.
     pub fn len(&self) -> usize {
-        self.after.len()
+        self.dependencies.len()
     }
 
-    /// Whether nothing is to be made.
+    /// Whether all stages are skipped.
     pub fn is_empty(&self) -> bool {
-        self.pieces.iter().all(|it| *it == 0)
+        self.items.iter().all(|it| *it == 0)
     }
 
-    /// Pieces of a stage.
+    /// Number of items of a stage.
     pub fn pieces(&self, stage: usize) -> u32 {
-        self.pieces[stage]
+        self.items[stage]
     }
 
-    /// Stages that a stage needs and that are not left out.
+    /// Direct dependencies of a stage that are not skipped.
     pub fn needs(&self, stage: usize) -> impl Iterator<Item = usize> {
-        self.after[stage].iter().copied().filter(|it| self.pieces[*it] != 0)
+        self.dependencies[stage].iter().copied().filter(|it| self.items[*it] != 0)
     }
 
-    /// Whether another stage comes after a stage.
+    /// Whether any stage depends on a stage.
     pub fn is_needed(&self, stage: usize) -> bool {
         self.after(stage).next().is_some()
     }
 
-    /// Stages whose results the request's own service takes.
+    /// Stages whose results go to the request's own service.
     pub fn last(&self) -> impl Iterator<Item = usize> {
-        (0..self.len()).filter(|it| self.pieces[*it] != 0 && !self.is_needed(*it))
+        (0..self.len()).filter(|it| self.items[*it] != 0 && !self.is_needed(*it))
     }
 
-    /// Stages to make anew where the inputs of a stage are gone: those that it needs, and before them
-    /// those whose results are no longer held, since they were given up once they had been used.
+    /// Stages to run again when the inputs of a stage are lost: its direct dependencies, and
+    /// recursively those of their dependencies whose results are no longer stored, since results
+    /// are released after use.
     pub fn lost_before(&self, stage: usize, is_held: impl Fn(usize) -> bool) -> Vec<usize> {
         let mut lost: Vec<usize> = self.needs(stage).collect();
         let mut next = 0;
@@ -108,7 +109,8 @@
         lost
     }
 
-    /// All stages that come after a stage, with the number of steps to each along the longest way.
+    /// All direct and indirect dependents of a stage, each with the length of the longest path to
+    /// it.
     pub fn ahead(&self, stage: usize) -> Vec<(usize, u32)> {
         let mut depths: BTreeMap<usize, u32> = BTreeMap::new();
         let mut next = vec![(stage, 0)];
@@ -124,8 +126,9 @@
         depths.into_iter().collect()
     }
 
-    /// Stages that need a stage's results.
+    /// Stages that directly depend on a stage.
     pub fn after(&self, stage: usize) -> impl Iterator<Item = usize> {
-        (0..self.len()).filter(move |it| self.pieces[*it] != 0 && self.after[*it].contains(&stage))
+        (0..self.len())
+            .filter(move |it| self.items[*it] != 0 && self.dependencies[*it].contains(&stage))
     }
 }
