--- a/crates/holdpoint-core/src/told_pace.rs
+++ b/crates/holdpoint-core/src/told_pace.rs
@@ -1,50 +1,49 @@
-//! How long work takes at a target at this moment, as the target tells it.
+//! Current pace of a target, estimated from what it reports with its answers.
 //!
-//! Targets share their machines with others, so the figure changes many times a second, and an answer tells
-//! it as it was when the answer was made. The next call begins later and lasts for a while, so what counts
-//! for it is a mean over some figures, which fades into the usual pace as it ages.
+//! Targets share their machines with others, so the pace changes many times a second, and a report
+//! is outdated when the next call starts. So the pace during that call is predicted by a moving
+//! average of the reports, which decays to the usual pace as it ages.
 
 use crate::ids::Millis;
 
-/// Time over which figures are averaged, in milliseconds: about that of a stage's call, over which the figure
-/// changes several times.
-const MEAN_MS: f64 = 400.0;
-/// Age at which what was told has lost half its weight, in milliseconds.
-const TRUST_MS: f64 = 1000.0;
-/// Bounds of a figure that is believed, as a multiple of the usual time.
-const BOUNDS: (f64, f64) = (0.2, 10.0);
-/// Multiple of the usual time from which on a silence says that the target is slow, not that it has failed.
-const SLOW: f64 = 1.5;
+/// Time constant of the moving average, in milliseconds: about the duration of a stage's call.
+const AVERAGING_MS: f64 = 400.0;
+/// Age at which the average has lost half its weight, in milliseconds.
+const HALF_LIFE_MS: f64 = 1000.0;
+/// Bounds of reported values, as multiples of the usual time.
+const FACTOR_RANGE: (f64, f64) = (0.2, 10.0);
+/// Multiple of the usual time from which a timeout means a slow target and not a failed one.
+const SLOW_FACTOR: f64 = 1.5;
 
-/// What a target has told of its pace.
+/// Moving average of a target's reported pace.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ToldPace {
-    /// Mean of the figures, as a multiple of the usual time.
+    /// As a multiple of the usual time.
     mean: f64,
-    at: Option<Millis>,
+    updated: Option<Millis>,
 }
 
 impl ToldPace {
-    /// Takes in how long work takes at a moment, in hundredths of the usual time.
+    /// Records a report, in percent of the usual time.
     pub fn told(&mut self, now: Millis, percent: u32) {
-        let figure = (f64::from(percent) / 100.0).clamp(BOUNDS.0, BOUNDS.1);
-        let newest = match self.at {
+        let reported = (f64::from(percent) / 100.0).clamp(FACTOR_RANGE.0, FACTOR_RANGE.1);
+        let weight = match self.updated {
             None => 1.0,
-            Some(at) => 1.0 - (-(now.saturating_sub(at).max(1) as f64) / MEAN_MS).exp(),
+            Some(at) => 1.0 - (-(now.saturating_sub(at).max(1) as f64) / AVERAGING_MS).exp(),
         };
-        self.mean += newest * (figure - self.mean);
-        self.at = Some(now);
+        self.mean += weight * (reported - self.mean);
+        self.updated = Some(now);
     }
 
-    /// How much longer than usual work is expected to take: 1 where nothing was told.
+    /// Expected multiple of the usual time; 1 without reports.
     pub fn factor(&self, now: Millis) -> f64 {
-        let Some(at) = self.at else { return 1.0 };
-        let trust = 0.5_f64.powf(now.saturating_sub(at) as f64 / TRUST_MS);
-        1.0 + trust * (self.mean - 1.0)
+        let Some(at) = self.updated else { return 1.0 };
+        let weight = 0.5_f64.powf(now.saturating_sub(at) as f64 / HALF_LIFE_MS);
+        1.0 + weight * (self.mean - 1.0)
     }
 
-    /// Whether the target has told of late that work takes so long there that a silence is no failure.
+    /// Whether the target reported itself so slow that a timeout is no failure.
     pub fn is_slow(&self, now: Millis) -> bool {
-        SLOW <= self.factor(now)
+        SLOW_FACTOR <= self.factor(now)
     }
 }
