--- a/crates/holdpoint-core/src/batcher/targets.rs
+++ b/crates/holdpoint-core/src/batcher/targets.rs
@@ -25,8 +25,7 @@
 pub(super) const SLOW_RATIO: f64 = 2.0;
 /// After a timeout, the call is assumed to need at least this multiple of the time waited.
 const TIMEOUT_SLOWNESS: f64 = 1.5;
-/// Upper bound of the slowness that timeouts can set; beyond it a target counts as failed rather
-/// than slow.
+/// Upper bound of the slowness after a timeout, which also bounds the next timeout.
 const MAX_SLOWNESS: f64 = 8.0;
 /// Idle time after which a slow target gets a call again without a backlog, in milliseconds.
 const SLOW_PROBE_MS: Millis = 2000;
