--- a/crates/holdpointd/src/ingress/unread.rs
+++ b/crates/holdpointd/src/ingress/unread.rs
@@ -1,10 +1,9 @@
-//! What is kept for callers who have not read it yet.
+//! Buffers response data that callers have not read yet.
 //!
-//! A caller may read slowly, or not at all, while its target goes on sending. A target gives up on an answer
-//! that stays unread for some seconds, and falls over when what it holds grows beyond its memory, so what it
-//! sends is taken from it and kept here, up to a bound for each answer and one for the instance. At a bound
-//! no more is read from the target until the caller has taken something; one that takes nothing for a while
-//! loses its answer, and all that is kept for it is given back.
+//! Targets abort responses that stay unread for some seconds, and crash when their own buffers outgrow their
+//! memory, so a target's data is read at once and buffered here, up to a limit for each response and one for
+//! the instance. At a limit, reading from the target pauses until the caller reads; a caller that reads nothing
+//! until a timeout loses its response, and the buffer is freed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,22 +15,22 @@
 
 use crate::ingress::answer::BrokenOff;
 
-/// Most bytes that are kept of one answer: a stream of five hundred events of 60 bytes.
+/// Maximum number of bytes buffered for one response.
 pub(crate) const MOST_EACH: usize = 32 << 10;
-/// Part of the machine's memory that all of it may take.
-const MEMORY_PART: usize = 8;
-/// How long a caller may take nothing while a bound is reached: less than the seconds after which a target
-/// gives up on its answer.
-const PATIENCE: Duration = Duration::from_millis(2500);
+/// Divisor of the machine's memory that gives the limit for the instance.
+const MEMORY_DIVISOR: usize = 8;
+/// How long a caller may read nothing while a limit is reached; shorter than the time after which a target
+/// aborts its response.
+const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Bytes that may still be kept on an instance.
+/// Capacity of an instance for unread response data.
 #[derive(Clone, Debug)]
 pub(crate) struct Unread {
     free: Arc<Semaphore>,
-    most: usize,
+    capacity: usize,
 }
 
-/// Bytes of an answer, which count until the caller's connection takes them.
+/// Data of a response, counted against both limits until the caller's connection takes it.
 #[derive(Debug)]
 pub(crate) struct Chunk {
     bytes: Bytes,
@@ -39,21 +38,21 @@
     _of_instance: OwnedSemaphorePermit,
 }
 
-/// Why a chunk was not passed on.
+/// Why data was not passed on to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotPassed {
-    /// The caller has left.
+    /// The caller has disconnected.
     Gone,
-    /// The caller has taken nothing for too long.
+    /// The caller has read nothing until the timeout.
     Unread {
-        /// Bytes that are kept for it.
+        /// Bytes buffered for it.
         kept: usize,
-        /// Whether it was the instance's bound that was reached.
+        /// Whether the limit reached was that of the instance.
         is_full: bool,
     },
 }
 
-/// Takes the chunks of one answer.
+/// Sender of one response's data.
 #[derive(Clone, Debug)]
 pub(crate) struct Keeper {
     chunks: mpsc::UnboundedSender<Result<Chunk, BrokenOff>>,
@@ -62,24 +61,24 @@
 }
 
 impl Unread {
-    /// Makes the account of an instance whose machine has so many megabytes of memory.
+    /// Creates the buffer capacity of an instance whose machine has `memory_mb` mebibytes of memory.
     pub(crate) fn new(memory_mb: f64) -> Unread {
-        let most = ((memory_mb * f64::from(1 << 20)) as usize / MEMORY_PART).max(MOST_EACH);
-        Unread { free: Arc::new(Semaphore::new(most)), most }
+        let capacity = ((memory_mb * f64::from(1 << 20)) as usize / MEMORY_DIVISOR).max(MOST_EACH);
+        Unread { free: Arc::new(Semaphore::new(capacity)), capacity }
     }
 
-    /// Bytes that are kept for all callers.
+    /// Bytes buffered for all callers.
     pub(crate) fn kept(&self) -> usize {
-        self.most - self.free.available_permits()
+        self.capacity - self.free.available_permits()
     }
 
-    /// Counts bytes that are held until what this returns is dropped; `None` where there is no room for them.
+    /// Counts bytes as buffered until the returned permit is dropped; `None` if there is no room for them.
     pub(crate) fn count(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let bytes = bytes.min(MOST_EACH) as u32;
         self.free.clone().try_acquire_many_owned(bytes).ok()
     }
 
-    /// Makes a channel for one answer: the side that takes its chunks, and its body.
+    /// Creates the buffer of one response: its sender, and the body for the caller.
     pub(crate) fn channel(
         &self,
     ) -> (Keeper, impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> + use<>) {
@@ -92,7 +91,11 @@
 }
 
 impl Keeper {
-    /// Keeps bytes for the caller, once there is room for them.
+    /// Buffers data for the caller, waiting for room.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the caller has disconnected or reads nothing until the timeout.
     pub(crate) async fn send(&self, mut bytes: Bytes) -> Result<(), NotPassed> {
         while !bytes.is_empty() {
             let part = bytes.split_to(bytes.len().min(MOST_EACH));
@@ -102,7 +105,7 @@
     }
 
     async fn send_part(&self, bytes: Bytes) -> Result<(), NotPassed> {
-        let room = tokio::time::timeout(PATIENCE, self.room(bytes.len()));
+        let room = tokio::time::timeout(READ_TIMEOUT, self.room(bytes.len()));
         let (of_answer, of_instance) = tokio::select! {
             it = room => match it {
                 Ok(Some(it)) => it,
@@ -116,7 +119,7 @@
     }
 
     async fn room(&self, bytes: usize) -> Option<(OwnedSemaphorePermit, OwnedSemaphorePermit)> {
-        // A part is no longer than the bound of an answer.
+        // A part is at most `MOST_EACH` bytes long.
         let bytes = bytes as u32;
         let of_answer = self.of_answer.clone().acquire_many_owned(bytes).await.ok()?;
         let of_instance = self.of_instance.clone().acquire_many_owned(bytes).await.ok()?;
@@ -128,13 +131,13 @@
         NotPassed::Unread { kept: MOST_EACH - free, is_full: bytes <= free }
     }
 
-    /// Breaks the answer off.
+    /// Ends the response early with an error.
     pub(crate) fn break_off(&self) {
-        // A caller who is gone needs no sign.
+        // A caller that has disconnected needs no error.
         drop(self.chunks.send(Err(BrokenOff)));
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
         self.chunks.closed().await;
     }
