--- a/crates/holdpointd/src/ingress/batches.rs
+++ b/crates/holdpointd/src/ingress/batches.rs
@@ -1,9 +1,12 @@
-//! Makes pieces of stages in calls that carry the pieces of many requests.
+//! Runs the work items of stages in calls to targets that carry items of many requests.
+//!
+//! Each service has a queue on the instance that batches for it. Calls start as soon as a target has capacity;
+//! the results go back to the requesting instances.
 
 mod admit;
 mod calls;
-mod hopeless;
 mod inputs;
+mod refusals;
 mod targets;
 
 use std::{
@@ -46,11 +49,11 @@
 };
 
 use self::{
-    admit::{admit, waiting},
+    admit::{admit, queue_entry},
     calls::run,
-    hopeless::{EVACUATED_RETURN_MS, refuse_hopeless},
     inputs::GroupInputs,
-    targets::{Known, Targets},
+    refusals::{EVACUATED_RETRY_MS, refuse_unplaceable},
+    targets::{KnownTarget, Targets},
 };
 
 struct Pending {
@@ -59,44 +62,44 @@
     route: Name,
     deadline: Instant,
     offered: Instant,
-    /// How often it went back to the queue.
-    returns: u32,
+    /// Number of times that it was put back into the queue.
+    requeues: u32,
     inputs: Arc<GroupInputs>,
-    /// Whether the target of its call has fetched its inputs.
+    /// Whether the target of its call is assumed to have fetched the inputs.
     is_fetched: AtomicBool,
     reply: oneshot::Sender<PieceResult>,
 }
 
-/// The batcher of one service on this instance.
-struct ServiceBatches {
+/// The queue of one service on this instance: its batcher, and the items that wait for a call.
+struct ServiceQueue {
     batcher: Batcher,
     pending: HashMap<Ticket, Pending>,
-    /// Whether this instance was the one that batches the service when last looked at.
+    /// Whether this instance batched for the service at the last check.
     is_owner: bool,
-    /// Whether all its targets stand in evacuated failure domains.
+    /// Whether all its targets that are not draining are in evacuated failure domains.
     is_evacuated: bool,
-    /// Whether it has none but targets that leave.
-    all_leave: bool,
-    /// Whether this instance was about to stop when last looked at.
-    was_leaving: bool,
-    /// Targets that calls may go to, where a version is rolled out.
+    /// Whether all its targets are draining.
+    all_draining: bool,
+    /// Whether this instance was draining at the last check.
+    was_draining: bool,
+    /// Restriction of calls to some versions of the targets during a roll-out.
     lane: Option<Lane>,
 }
 
-impl ServiceBatches {
-    fn new(sizes: Sizes) -> ServiceBatches {
-        ServiceBatches {
+impl ServiceQueue {
+    fn new(sizes: Sizes) -> ServiceQueue {
+        ServiceQueue {
             batcher: Batcher::new(sizes),
             pending: HashMap::new(),
             is_owner: false,
             is_evacuated: false,
-            all_leave: false,
-            was_leaving: false,
+            all_draining: false,
+            was_draining: false,
             lane: None,
         }
     }
 
-    /// Takes in which targets calls may go to, where a version is rolled out.
+    /// Restricts calls to the targets of a lane during a roll-out.
     fn set_lane(&mut self, lane: Option<Lane>, closed: &[TargetId], targets: &Targets) {
         self.lane = lane;
         let known = targets
@@ -106,15 +109,15 @@
         self.batcher.set_targets(known);
     }
 
-    /// Takes in the service's targets. Where none is left, what waits is refused at once.
+    /// Replaces the service's targets. If none can take calls, waiting items are refused at once.
     fn set_targets(&mut self, targets: &Targets) {
         self.set_lane(None, &[], targets);
         self.batcher.set_spare(targets.far.iter().map(String::as_str));
-        self.note_open(targets);
+        self.update_open(targets);
     }
 
-    /// Takes in one target that is new, has changed or is gone.
-    fn put_target(&mut self, id: &str, known: Option<&Known>, targets: &Targets) {
+    /// Adds, updates or removes one target.
+    fn put_target(&mut self, id: &str, known: Option<&KnownTarget>, targets: &Targets) {
         if self.lane.is_some() {
             return self.set_targets(targets);
         }
@@ -122,28 +125,28 @@
             Some(it) => self.batcher.put_target(id, &it.domain, it.is_closed),
             None => self.batcher.remove_target(id),
         }
-        self.note_open(targets);
+        self.update_open(targets);
     }
 
-    /// Takes in which targets have asked this instance to back off.
-    fn take_in_backoffs(&mut self, shared: &IngressShared, now: Millis, service: &str) {
+    /// Applies the backoffs that targets have requested from this instance.
+    fn apply_backoffs(&mut self, shared: &IngressShared, now: Millis, service: &str) {
         for (id, until) in shared.backoffs.lock().of_service(now, service) {
             self.batcher.back_off_until(id, until);
         }
     }
 
-    /// Refuses what no target is left for.
-    fn note_open(&mut self, targets: &Targets) {
+    /// Updates whether any target can take calls, and refuses the waiting items that none can process.
+    fn update_open(&mut self, targets: &Targets) {
         self.is_evacuated = targets.is_evacuated();
         if self.is_evacuated {
             let tickets = self.batcher.hand_over();
-            self.answer(&tickets, NoResult::Overload(EVACUATED_RETURN_MS));
+            self.answer(&tickets, NoResult::Overload(EVACUATED_RETRY_MS));
         }
-        // Without any entry they have crashed and may be back at once, unless they were leaving.
+        // An empty list means that the targets crashed and may restart soon, unless they were draining.
         if !targets.known.is_empty() {
-            self.all_leave = targets.all_leave();
+            self.all_draining = targets.all_draining();
         }
-        if self.all_leave {
+        if self.all_draining {
             let tickets = self.batcher.hand_over();
             self.answer(&tickets, NoResult::Overload(NONE_LEFT_RETURN_MS));
         }
@@ -151,7 +154,7 @@
         self.answer(&stranded, NoResult::Overload(confinement::RETURN_MS));
     }
 
-    /// Answers pieces that wait no longer; a request may have ended meanwhile.
+    /// Fails items that are no longer queued. Their requests may have ended already.
     fn answer(&mut self, tickets: &[Ticket], why: NoResult) {
         for it in tickets.iter().filter_map(|it| self.pending.remove(it)) {
             drop(it.reply.send(Err(why)));
@@ -159,51 +162,51 @@
     }
 }
 
-/// A call to make.
+/// A call to send.
 struct NextCall {
     call: Call,
-    /// The right to make it, where this instance gives it.
+    /// Permit for the call, if this instance is the owner of the target's rate limit.
     permit: Option<Permit>,
-    pieces: Vec<Pending>,
-    /// How long it is waited for, in milliseconds.
-    patience: Millis,
+    items: Vec<Pending>,
+    /// Timeout of the call in milliseconds.
+    timeout_ms: Millis,
 }
 
-/// What an instance tells of the services that it batches.
+/// Times and load that an instance reports for the services it batches for.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StageLoads {
-    /// Time that a stage takes there, in milliseconds.
+    /// Expected time of a stage by service, in milliseconds.
     pub(crate) times: Vec<(Name, Millis)>,
-    /// Their load.
+    /// Load by service.
     pub(crate) loads: Vec<(Name, StageLoad)>,
 }
 
-/// The batchers of all services on this instance.
+/// The queues of all services on this instance.
 #[derive(Default)]
 pub(crate) struct Batches {
-    services: Mutex<HashMap<Name, ServiceBatches>>,
-    /// Targets by service, as last told.
+    services: Mutex<HashMap<Name, ServiceQueue>>,
+    /// Targets by service, as last received from the directory.
     targets: Mutex<HashMap<Name, Targets>>,
     loads: Mutex<StageLoads>,
-    /// What later stages are promised by requests admitted here.
+    /// Work that requests admitted here will bring to later stages.
     promises: Mutex<Promises>,
     next_ticket: AtomicU64,
 }
 
 impl Batches {
-    /// Takes in the services' sizes from the configuration in force.
+    /// Applies the call profiles of the active configuration.
     pub(crate) fn configure(&self, shared: &IngressShared) {
         let configuration = shared.configuration();
         let mut services = self.services.lock();
-        for (name, of_service) in services.iter_mut() {
+        for (name, queue) in services.iter_mut() {
             if let Some(sizes) = configuration.services.get(name).and_then(|it| sizes(it)) {
-                of_service.batcher.set_sizes(sizes);
+                queue.batcher.set_sizes(sizes);
             }
         }
     }
 
-    /// Takes in the targets of all services. Those of other regions get no calls of this instance as
-    /// long as its own region has some that do.
+    /// Replaces the targets of all services. Targets of other regions are closed to calls from this instance
+    /// while its own region has open ones.
     pub(crate) fn set_targets(
         &self,
         directory: &Directory,
@@ -221,57 +224,57 @@
                 of_service.far.push(it.id.clone());
             }
             let is_evacuated = evacuations.is_evacuated(&it.domain);
-            of_service.put(&it.id, Known::new(it, is_evacuated, is_far));
+            of_service.put(&it.id, KnownTarget::new(it, is_evacuated, is_far));
         }
         let none = Targets::default();
         let mut services = self.services.lock();
-        for (name, of_service) in services.iter_mut() {
-            of_service.set_targets(targets.get(name).unwrap_or(&none));
+        for (name, queue) in services.iter_mut() {
+            queue.set_targets(targets.get(name).unwrap_or(&none));
         }
         *self.targets.lock() = targets;
     }
 
-    /// Takes in one target that is new, has changed or is gone, where all are in one region, and whether its
-    /// failure domain is evacuated.
+    /// Adds, updates or removes one target, in a system of a single region, given whether its failure domain is
+    /// evacuated.
     pub(crate) fn put_target(&self, id: &str, found: Option<&TargetInstance>, is_evacuated: bool) {
         self.remove_if(id, |service| found.is_none_or(|it| it.service != service));
         let Some(it) = found else { return };
-        let known = Known::new(it, is_evacuated, false);
+        let known = KnownTarget::new(it, is_evacuated, false);
         let mut services = self.services.lock();
         let mut all = self.targets.lock();
         let targets = all.entry(it.service.clone()).or_default();
         targets.put(id, known.clone());
-        if let Some(of_service) = services.get_mut(&it.service) {
-            of_service.put_target(id, Some(&known), targets);
+        if let Some(queue) = services.get_mut(&it.service) {
+            queue.put_target(id, Some(&known), targets);
         }
     }
 
-    /// Takes in that a target is gone, with its results.
+    /// Removes a target that is gone or has restarted, together with its results.
     pub(crate) fn remove_target(&self, id: &str) {
         self.remove_if(id, |_| true);
     }
 
-    fn remove_if(&self, id: &str, is_its: impl Fn(&str) -> bool) {
+    fn remove_if(&self, id: &str, is_match: impl Fn(&str) -> bool) {
         let mut services = self.services.lock();
         let mut all = self.targets.lock();
-        for (service, targets) in all.iter_mut().filter(|it| is_its(it.0)) {
+        for (service, targets) in all.iter_mut().filter(|it| is_match(it.0)) {
             if targets.remove(id)
-                && let Some(of_service) = services.get_mut(service)
+                && let Some(queue) = services.get_mut(service)
             {
-                of_service.put_target(id, None, targets);
+                queue.put_target(id, None, targets);
             }
         }
     }
 
-    /// Makes pieces on this instance; the results come in the order of the pieces.
+    /// Queues items on this instance and waits for their results, which are in the order of the items.
     pub(crate) async fn make(
         &self,
         shared: &Arc<IngressShared>,
         service: &str,
-        asks: Vec<PieceAsk>,
+        requests: Vec<PieceAsk>,
     ) -> Vec<PieceResult> {
-        let count = asks.len();
-        let replies = match self.offer(shared, service, asks) {
+        let count = requests.len();
+        let replies = match self.offer(shared, service, requests) {
             Ok(it) => it,
             Err(it) => return vec![Err(it); count],
         };
@@ -283,44 +286,44 @@
         &self,
         shared: &IngressShared,
         service: &str,
-        mut asks: Vec<PieceAsk>,
+        mut requests: Vec<PieceAsk>,
     ) -> Result<Vec<oneshot::Receiver<PieceResult>>, NoResult> {
         let configuration = shared.configuration();
         let sizes = configuration.services.get(service).and_then(|it| sizes(it));
         let sizes = sizes.ok_or(NoResult::Unreachable)?;
         let mut services = self.services.lock();
-        let of_service = self.of_service(&mut services, service, sizes);
+        let queue = self.queue_of(&mut services, service, sizes);
         let now = shared.clock.now();
-        of_service.take_in_backoffs(shared, now, service);
-        let within = refuse_hopeless(shared, of_service, service, now, &asks)?;
+        queue.apply_backoffs(shared, now, service);
+        let within = refuse_unplaceable(shared, queue, service, now, &requests)?;
         let mut promises = self.promises.lock();
-        admit(shared, service, &mut of_service.batcher, &mut promises, now, &asks)?;
+        admit(shared, service, &mut queue.batcher, &mut promises, now, &requests)?;
         drop(promises);
         let offered = Instant::now();
         let group = self.ticket();
-        let inputs = Arc::new(GroupInputs::new(&mut asks, within));
+        let inputs = Arc::new(GroupInputs::new(&mut requests, within));
         let is_alone = shared.quarantines.runs_alone(inputs.fingerprint);
-        let mut replies = Vec::with_capacity(asks.len());
-        for ask in asks {
+        let mut replies = Vec::with_capacity(requests.len());
+        for request in requests {
             let ticket = self.ticket();
             let (reply, answer) = oneshot::channel();
             replies.push(answer);
             let within = inputs.within.clone();
-            let piece = Waiting { within, is_alone, ..waiting(&ask, ticket, group, now) };
-            of_service.batcher.offer(now, piece);
-            let deadline = offered + Duration::from_millis(ask.left_ms);
+            let item = Waiting { within, is_alone, ..queue_entry(&request, ticket, group, now) };
+            queue.batcher.offer(now, item);
+            let deadline = offered + Duration::from_millis(request.left_ms);
             let inputs = inputs.clone();
             let pending = Pending {
-                work: ask.work,
-                route: ask.route,
+                work: request.work,
+                route: request.route,
                 deadline,
                 offered,
-                returns: 0,
+                requeues: 0,
                 inputs,
                 is_fetched: AtomicBool::new(false),
                 reply,
             };
-            of_service.pending.insert(ticket, pending);
+            queue.pending.insert(ticket, pending);
         }
         Ok(replies)
     }
@@ -329,12 +332,12 @@
         self.next_ticket.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// How long stages take at the services that this instance batches, and their load.
+    /// Times and load of the services that this instance batches for.
     pub(crate) fn stage_loads(&self) -> StageLoads {
         self.loads.lock().clone()
     }
 
-    /// Takes in the load of services that other instances or this one batch.
+    /// Applies load reports of services that this or other instances batch for.
     pub(crate) fn told(&self, shared: &IngressShared, now: Millis, loads: Vec<(Name, StageLoad)>) {
         let mut promises = self.promises.lock();
         for (service, load) in loads {
@@ -345,8 +348,9 @@
         }
     }
 
-    /// Pieces of a service that could be made within a time beside those of this instance's region, and
-    /// how long its stage usually takes; `None` where it has no stage.
+    /// Number of other regions' items that the service's targets can process within `ms` milliseconds beside
+    /// those of the own region, and the expected time of the stage in milliseconds; `None` if the service runs
+    /// no stage.
     pub(crate) fn lendable(
         &self,
         shared: &IngressShared,
@@ -356,95 +360,96 @@
         let configuration = shared.configuration();
         let sizes = configuration.services.get(service).and_then(|it| sizes(it))?;
         let mut services = self.services.lock();
-        let batcher = &self.of_service(&mut services, service, sizes).batcher;
+        let batcher = &self.queue_of(&mut services, service, sizes).batcher;
         let now = shared.clock.now();
         Some((batcher.lendable(now, ms), batcher.usual_ms(now)))
     }
 
-    /// The batcher of a service, made where there is none yet.
-    fn of_service<'a>(
+    /// Returns the queue of a service, creating it if there is none.
+    fn queue_of<'a>(
         &self,
-        services: &'a mut HashMap<Name, ServiceBatches>,
+        services: &'a mut HashMap<Name, ServiceQueue>,
         service: &str,
         sizes: Sizes,
-    ) -> &'a mut ServiceBatches {
+    ) -> &'a mut ServiceQueue {
         services.entry(service.to_owned()).or_insert_with(|| {
-            let mut of_service = ServiceBatches::new(sizes);
+            let mut queue = ServiceQueue::new(sizes);
             if let Some(its) = self.targets.lock().get(service) {
-                of_service.set_targets(its);
+                queue.set_targets(its);
             }
-            of_service
+            queue
         })
     }
 
-    /// Takes in that results were given up at their makers.
-    pub(crate) fn released(&self, service: &str, handles: &[String]) {
+    /// Records that results were released at the targets that stored them.
+    pub(crate) fn record_released(&self, service: &str, handles: &[String]) {
         if let Some(it) = self.services.lock().get_mut(service) {
             handles.iter().for_each(|handle| it.batcher.released(handle));
         }
     }
 
-    /// Drops the pieces of a service that will not be made in time for their requests.
+    /// Fails the items of a service that can't be processed within their requests' deadlines.
     fn expire(&self, shared: &IngressShared, service: &str) {
         let now = shared.clock.now();
         let mut services = self.services.lock();
-        let Some(of_service) = services.get_mut(service) else { return };
-        of_service.take_in_backoffs(shared, now, service);
-        let tickets = of_service.batcher.expire(now);
+        let Some(queue) = services.get_mut(service) else { return };
+        queue.apply_backoffs(shared, now, service);
+        let tickets = queue.batcher.expire(now);
         if !tickets.is_empty() {
-            let backoff_ms = of_service.batcher.backoff_ms(now);
+            let backoff_ms = queue.batcher.backoff_ms(now);
             let later = backoff_ms.map(|it| NoResult::Overload(backoff::return_ms(it)));
-            of_service.answer(&tickets, later.unwrap_or(NoResult::Late));
+            queue.answer(&tickets, later.unwrap_or(NoResult::Late));
         }
     }
 
-    /// Forgets the pieces that nobody waits for any more, and measures how long stages take. Both look
-    /// at all that waits: done with each call, they take most of a processor in a surge.
-    fn review(&self, now: Millis) {
+    /// Drops the items whose requests have ended, and measures the load. Both scan all waiting items, which is
+    /// too costly to do with each call under high load.
+    fn prune_and_measure(&self, now: Millis) {
         let mut services = self.services.lock();
-        let mut told = StageLoads::default();
-        for (name, ServiceBatches { batcher, pending, is_owner, .. }) in services.iter_mut() {
+        let mut measured = StageLoads::default();
+        for (name, ServiceQueue { batcher, pending, is_owner, .. }) in services.iter_mut() {
             pending.retain(|_, it| !it.reply.is_closed());
             batcher.retain(|it| pending.contains_key(&it));
             if *is_owner {
-                told.times.push((name.clone(), batcher.usual_ms(now)));
-                told.loads.push((name.clone(), batcher.load(now)));
+                measured.times.push((name.clone(), batcher.usual_ms(now)));
+                measured.loads.push((name.clone(), batcher.load(now)));
             }
         }
-        *self.loads.lock() = told;
+        *self.loads.lock() = measured;
     }
 
-    /// Takes the next call of a service, with its pieces.
-    fn next(&self, shared: &IngressShared, service: &str) -> Option<NextCall> {
+    /// Removes the next call of a service from its queue, with its items.
+    fn next_call(&self, shared: &IngressShared, service: &str) -> Option<NextCall> {
         let now = shared.clock.now();
         let mut services = self.services.lock();
-        let of_service = services.get_mut(service)?;
-        let pieces = u64::from(of_service.batcher.sizes().pieces);
-        let lane = shared.rollouts.piece_lane(now, service, pieces);
-        if lane != of_service.lane {
+        let queue = services.get_mut(service)?;
+        let items = u64::from(queue.batcher.sizes().pieces);
+        let lane = shared.rollouts.piece_lane(now, service, items);
+        if lane != queue.lane {
             let closed = shared.rollouts.closed(now, service, lane.unwrap_or(Lane::Any));
             let targets = self.targets.lock().get(service).cloned().unwrap_or_default();
-            of_service.set_lane(lane, &closed, &targets);
+            queue.set_lane(lane, &closed, &targets);
         }
-        of_service.take_in_backoffs(shared, now, service);
-        let ServiceBatches { batcher, pending, .. } = of_service;
+        queue.apply_backoffs(shared, now, service);
+        let ServiceQueue { batcher, pending, .. } = queue;
         shared.limits.allowances(shared, service, |it| {
             batcher.set_limit(it.target, it.per_s, it.closed_until);
         });
         let call = batcher.next(now)?;
-        // Before the next call is chosen, which is not to go to the same target.
+        // The permit is taken before the next call is chosen, so that this one counts against the target's
+        // limit.
         let permit = shared
             .target(&call.target)
-            .and_then(|it| limits::ask_here(shared, &it))
+            .and_then(|it| limits::acquire_local(shared, &it))
             .and_then(Result::ok);
         shared.rollouts.pieces_sent(service, &call.target, call.pieces.len() as u64);
-        let pieces: Vec<Pending> =
+        let items: Vec<Pending> =
             call.pieces.iter().filter_map(|it| pending.remove(&it.ticket)).collect();
-        let patience = batcher.patience_ms(now, &call.target, call.pieces.len());
-        Some(NextCall { call, permit, pieces, patience })
+        let timeout_ms = batcher.patience_ms(now, &call.target, call.pieces.len());
+        Some(NextCall { call, permit, items, timeout_ms })
     }
 
-    fn ended(
+    fn record_end(
         &self,
         shared: &IngressShared,
         service: &str,
@@ -468,54 +473,57 @@
         judgement
     }
 
-    /// Takes in the load that a target told with an answer, with which so many calls have ended.
+    /// Records the load that a target reported with a response that ended `answered` calls.
     pub(crate) fn report(&self, now: Millis, target: &TargetInstance, load: Load, answered: u32) {
         if let Some(it) = self.services.lock().get_mut(&target.service) {
             it.batcher.told_load(now, &target.id, load, answered);
         }
     }
 
-    /// Gives a piece back to the queue that was not made.
-    fn again(&self, now: Millis, service: &str, waiting: Waiting, pending: Pending) {
+    /// Puts an item that was not processed back into the queue.
+    fn requeue(&self, now: Millis, service: &str, waiting: Waiting, pending: Pending) {
         let mut services = self.services.lock();
-        let Some(of_service) = services.get_mut(service) else { return };
+        let Some(queue) = services.get_mut(service) else { return };
         if pending.is_fetched.swap(false, Ordering::AcqRel) {
             pending.inputs.unfetched.fetch_add(1, Ordering::AcqRel);
         }
-        of_service.pending.insert(waiting.ticket, pending);
-        of_service.batcher.offer(now, waiting);
+        queue.pending.insert(waiting.ticket, pending);
+        queue.batcher.offer(now, waiting);
     }
 
-    /// Hands what waits over where another instance is the one that batches a service: at once where
-    /// that was this one until now, else as soon as the other one tells that it does.
+    /// Hands waiting items over if another instance batches for a service: at once if this instance did so
+    /// until now, else as soon as the other one reports that it does.
     fn hand_over(&self, shared: &IngressShared) {
         let mut services = self.services.lock();
-        for (name, of_service) in services.iter_mut() {
+        for (name, queue) in services.iter_mut() {
             let is_owner = own_batcher_of(shared, name).is_none();
-            let was_owner = std::mem::replace(&mut of_service.is_owner, is_owner);
-            let is_told = || shared.pools.of(shared.clock.now(), name).has_told(shared.clock.now());
-            let is_leaving = shared.peers.is_leaving();
-            let was_leaving = std::mem::replace(&mut of_service.was_leaving, is_leaving);
-            if of_service.batcher.waiting() == 0 {
+            let was_owner = std::mem::replace(&mut queue.is_owner, is_owner);
+            let has_report =
+                || shared.pools.of(shared.clock.now(), name).has_owner_report(shared.clock.now());
+            let is_draining = shared.peers.is_leaving();
+            let was_draining = std::mem::replace(&mut queue.was_draining, is_draining);
+            if queue.batcher.waiting() == 0 {
                 continue;
             }
-            let moves = !is_owner && (was_owner || is_told());
-            // Confined pieces have an owner of their own, which may be any allowed instance.
-            let confined_move = is_leaving && !was_leaving;
-            let tickets = of_service
+            let is_moving = !is_owner && (was_owner || has_report());
+            // Confined items may be owned by any allowed instance, so they move only when this one starts
+            // draining.
+            let is_draining_now = is_draining && !was_draining;
+            let tickets = queue
                 .batcher
-                .take_back(|it| if it.within.is_some() { confined_move } else { moves });
+                .take_back(|it| if it.within.is_some() { is_draining_now } else { is_moving });
             if tickets.is_empty() {
                 continue;
             }
             let detail = format!("service={name} pieces={}", tickets.len());
             emit(events::HANDED_PIECES_OVER, &shared.settings.instance, &detail);
-            of_service.answer(&tickets, NoResult::Moved);
+            queue.answer(&tickets, NoResult::Moved);
         }
     }
 
-    /// Whether this instance needs to hear from the owners of services without asking them for anything: as
-    /// one of them, which tell each other their load, or since pieces wait here that another one may make.
+    /// Whether this instance needs reports from the owners of services without sending them requests: because
+    /// it is an owner, and owners exchange their load, or because items wait here that another instance may
+    /// take over.
     pub(crate) fn relies_on_owners(&self) -> bool {
         let has_work = || self.services.lock().values().any(|it| it.batcher.waiting() != 0);
         !self.loads.lock().times.is_empty() || has_work()
@@ -527,8 +535,8 @@
     }
 }
 
-/// Gathers the results of pieces that were asked for together. Once one of them is too late, none of
-/// the others is of use, and they are not waited for.
+/// Collects the results of items that were requested together. Once one of them has missed its deadline, the
+/// others are of no use and are not waited for.
 async fn gather(replies: Vec<oneshot::Receiver<PieceResult>>) -> Vec<PieceResult> {
     let mut results = vec![Err(NoResult::Late); replies.len()];
     let indexed = replies.into_iter().enumerate();
@@ -543,22 +551,22 @@
     results
 }
 
-/// Starts calls for all that waits where a target has become free with time.
+/// Hands over and prunes waiting items, then starts the calls that targets have capacity for.
 pub(crate) fn pump_all(shared: &Arc<IngressShared>) {
     shared.batches.hand_over(shared);
-    shared.batches.review(shared.clock.now());
+    shared.batches.prune_and_measure(shared.clock.now());
     shared.take_stage_loads(shared.batches.stage_loads());
     for service in shared.batches.services_with_work() {
         pump(shared, &service);
     }
 }
 
-/// Starts as many calls of a service as its targets take.
+/// Starts as many calls of a service as its targets have capacity for.
 pub(crate) fn pump(shared: &Arc<IngressShared>, service: &str) {
     shared.batches.expire(shared, service);
-    while let Some(it) = shared.batches.next(shared, service) {
+    while let Some(it) = shared.batches.next_call(shared, service) {
         let call = (it.call, it.permit);
-        tokio::spawn(run(shared.clone(), service.to_owned(), call, it.pieces, it.patience));
+        tokio::spawn(run(shared.clone(), service.to_owned(), call, it.items, it.timeout_ms));
     }
 }
 
--- a/crates/holdpointd/src/ingress/batches/calls.rs
+++ b/crates/holdpointd/src/ingress/batches/calls.rs
@@ -1,4 +1,4 @@
-//! Calls at targets: their pieces, what they answer, and the line that tells how they went.
+//! Sends calls to targets, delivers the results of their items, and logs each call.
 
 use super::{Pending, pump};
 use std::{
@@ -33,68 +33,71 @@
     metrics::label,
 };
 
-/// How often a piece goes back to the queue for want of room.
-const RETURNS: u32 = 20;
-/// Shortest time that a call to a target is given, in milliseconds.
-const LEAST_CALL_MS: Millis = 400;
+/// Maximum number of times that an item is put back into the queue because a target had no room for its result.
+const MAX_REQUEUES: u32 = 20;
+/// Lower bound of a call's timeout.
+const MIN_CALL_TIMEOUT_MS: Millis = 400;
 
 pub(super) async fn run(
     shared: Arc<IngressShared>,
     service: Name,
     (call, permit): (Call, Option<Permit>),
-    pieces: Vec<Pending>,
-    patience: Millis,
+    items: Vec<Pending>,
+    timeout_ms: Millis,
 ) {
     let begun = Instant::now();
-    let outcome = ask_and_release(&shared, (&call, permit), &pieces, patience).await;
+    let outcome = call_and_release(&shared, (&call, permit), &items, timeout_ms).await;
     let ms = begun.elapsed().as_millis() as Millis;
-    note_runs(&shared, &service, &pieces, &outcome);
+    record_runs(&shared, &service, &items, &outcome);
     let is_judged = !outcome.as_ref().is_err_and(|it| it.is_backoff);
     let outcome = outcome.map_err(|it| it.end);
     let (results, end, text) = match outcome {
         Ok(it) => (it, CallEnd::Answered(ms), "answered"),
         Err(CallEnd::Full) => (Vec::new(), CallEnd::Full, "full"),
-        Err(_) if patience.max(LEAST_CALL_MS) <= ms => (Vec::new(), CallEnd::Silent(ms), "silent"),
+        Err(_) if timeout_ms.max(MIN_CALL_TIMEOUT_MS) <= ms => {
+            (Vec::new(), CallEnd::Silent(ms), "silent")
+        }
         Err(_) => (Vec::new(), CallEnd::Failed, "failed"),
     };
     if is_judged {
-        judge_call(&shared, &service, &call, &pieces, &results, (end, ms));
+        record_for_rollout(&shared, &service, &call, &items, &results, (end, ms));
     }
-    let judgement = shared.batches.ended(&shared, &service, &call, end, &results);
-    log_call(&shared, &service, &call, &pieces, &results, (begun, ms, text), judgement);
+    let judgement = shared.batches.record_end(&shared, &service, &call, end, &results);
+    log_call(&shared, &service, &call, &items, &results, (begun, ms, text), judgement);
     let mut results = results.into_iter();
-    for (waiting, piece) in call.pieces.into_iter().zip(pieces) {
+    for (waiting, item) in call.pieces.into_iter().zip(items) {
         let usual = if end == CallEnd::Full { NoResult::NoRoom } else { NoResult::Failed };
         let result = results.next().unwrap_or(Err(usual));
-        deliver(&shared, &service, waiting, piece, result);
+        deliver(&shared, &service, waiting, item, result);
     }
     pump(&shared, &service);
 }
 
-/// A call that made nothing.
-struct NoCall {
+/// A call that returned no results.
+struct CallFailure {
     end: CallEnd,
-    /// The target whose connection broke off while it worked on the call.
-    broken: Option<TargetInstance>,
-    /// Whether the target has asked this instance to back off, which is no fault of its version.
+    /// The target, if its connection was lost while it worked on the call.
+    lost_target: Option<TargetInstance>,
+    /// Whether the target requested a backoff, which does not count against its version.
     is_backoff: bool,
 }
 
-impl From<CallEnd> for NoCall {
-    fn from(end: CallEnd) -> NoCall {
-        NoCall { end, broken: None, is_backoff: false }
+impl From<CallEnd> for CallFailure {
+    fn from(end: CallEnd) -> CallFailure {
+        CallFailure { end, lost_target: None, is_backoff: false }
     }
 }
 
-/// Notes that a call broke off under the requests of its pieces, or which of them ran to a good end.
-fn note_runs(
+/// Records for quarantine which requests' items succeeded, or that the connection was lost while the target
+/// worked on them.
+fn record_runs(
     shared: &IngressShared,
     service: &str,
-    pieces: &[Pending],
-    outcome: &Result<Vec<PieceResult>, NoCall>,
+    items: &[Pending],
+    outcome: &Result<Vec<PieceResult>, CallFailure>,
 ) {
-    let requests = |is_its: &dyn Fn(usize) -> bool| -> HashSet<Fingerprint> {
-        let its = pieces.iter().enumerate().filter(|it| is_its(it.0));
+    let requests = |is_match: &dyn Fn(usize) -> bool| -> HashSet<Fingerprint> {
+        let its = items.iter().enumerate().filter(|it| is_match(it.0));
         its.filter_map(|it| it.1.inputs.fingerprint).collect()
     };
     match outcome {
@@ -102,7 +105,7 @@
             let is_made = |index| matches!(results.get(index), Some(Ok(_)));
             requests(&is_made).into_iter().for_each(|it| shared.quarantines.passed(service, || it));
         }
-        Err(NoCall { broken: Some(target), .. }) => {
+        Err(CallFailure { lost_target: Some(target), .. }) => {
             let all = requests(&|_| true).into_iter();
             all.for_each(|it| shared.quarantines.broke_off(it, target));
         }
@@ -110,78 +113,78 @@
     }
 }
 
-/// Has a call counted for the roll-out of its target's version: the time of its pieces as a percentage
-/// of the stated one, since calls differ in size.
-fn judge_call(
+/// Counts a call for the roll-out of its target's version. Its duration is recorded as a percentage of the
+/// nominal one, since calls differ in size.
+fn record_for_rollout(
     shared: &IngressShared,
     service: &str,
     call: &Call,
-    pieces: &[Pending],
+    items: &[Pending],
     results: &[PieceResult],
     (end, ms): (CallEnd, Millis),
 ) {
-    let part = (100.0 * ms as f64 / call.sizes.stated_ms(pieces.len()).max(1.0)) as Millis;
-    for (index, piece) in pieces.iter().enumerate() {
+    let percent = (100.0 * ms as f64 / call.sizes.stated_ms(items.len()).max(1.0)) as Millis;
+    for (index, item) in items.iter().enumerate() {
         let answer = match (end, results.get(index)) {
             (CallEnd::Full, _) => Answer::Refused,
             (CallEnd::Silent(_), _) => Answer::Silent,
             (CallEnd::Failed, _) | (_, Some(Err(NoResult::Failed))) => Answer::Failed,
-            (_, Some(Ok(_))) => Answer::Good((!shared.is_cold(&call.target)).then_some(part)),
+            (_, Some(Ok(_))) => Answer::Good((!shared.is_cold(&call.target)).then_some(percent)),
             _ => continue,
         };
-        shared.rollouts.piece_answered(service, &call.target, &piece.route, answer);
+        shared.rollouts.piece_answered(service, &call.target, &item.route, answer);
     }
 }
 
-/// Makes a call, and gives up the inputs of its pieces as soon as its target has them. Where other
-/// instances call the target too, the call may wait there for its turn, and its inputs are not
-/// fetched before that.
-async fn ask_and_release(
+/// Sends a call, and releases the inputs of its items as soon as the target has fetched them. If other
+/// instances call the target too, the call may be queued there before it fetches its inputs, so they are kept
+/// until it has succeeded.
+async fn call_and_release(
     shared: &Arc<IngressShared>,
     (call, permit): (&Call, Option<Permit>),
-    pieces: &[Pending],
-    patience: Millis,
-) -> Result<Vec<PieceResult>, NoCall> {
-    let asking = ask_target(shared, (call, permit), pieces, patience);
-    tokio::pin!(asking);
+    items: &[Pending],
+    timeout_ms: Millis,
+) -> Result<Vec<PieceResult>, CallFailure> {
+    let calling = call_target(shared, (call, permit), items, timeout_ms);
+    tokio::pin!(calling);
     let outcome = tokio::select! {
-        it = &mut asking => it,
+        it = &mut calling => it,
         () = sleep(FETCHED), if !call.is_shared => {
-            release_inputs(shared, pieces);
-            return asking.await;
+            release_inputs(shared, items);
+            return calling.await;
         }
     };
     if outcome.is_ok() {
-        release_inputs(shared, pieces);
+        release_inputs(shared, items);
     }
     outcome
 }
 
-/// Gives up the inputs of pieces whose target has fetched them, as it does first of all. Their makers
-/// have room again so much earlier. Should a call fail after that, the inputs are made anew.
-fn release_inputs(shared: &IngressShared, pieces: &[Pending]) {
-    for piece in pieces {
-        if !piece.is_fetched.swap(true, Ordering::AcqRel) {
-            piece.inputs.fetched(shared);
+/// Releases the inputs of items, which a target fetches before it starts work, so that the targets that store
+/// them regain room early. If the call fails later, the inputs are made again.
+fn release_inputs(shared: &IngressShared, items: &[Pending]) {
+    for item in items {
+        if !item.is_fetched.swap(true, Ordering::AcqRel) {
+            item.inputs.record_fetched(shared);
         }
     }
 }
 
-/// Hands a result to whoever asked for it; a piece that found no room goes back to the queue.
+/// Delivers a result to its requester; an item that found no room is put back into the queue.
 fn deliver(
     shared: &IngressShared,
     service: &str,
     waiting: Waiting,
-    mut piece: Pending,
+    mut item: Pending,
     result: PieceResult,
 ) {
-    if result == Err(NoResult::NoRoom) && piece.returns < RETURNS {
-        piece.returns += 1;
-        shared.batches.again(shared.clock.now(), service, waiting, piece);
+    if result == Err(NoResult::NoRoom) && item.requeues < MAX_REQUEUES {
+        item.requeues += 1;
+        shared.batches.requeue(shared.clock.now(), service, waiting, item);
         return;
     }
-    if let Err(Ok(handle)) = piece.reply.send(result) {
-        // Its request has ended meanwhile.
+    if let Err(Ok(handle)) = item.reply.send(result) {
+        // The request has ended, and nothing else refers to the result.
         shared.releases.release(service, handle);
     }
 }
@@ -190,15 +193,15 @@
     shared: &IngressShared,
     service: &str,
     call: &Call,
-    pieces: &[Pending],
+    items: &[Pending],
     results: &[PieceResult],
     (begun, ms, end): (Instant, Millis, &'static str),
     judgement: Option<Judgement>,
 ) {
-    let waited = pieces.iter().map(|it| (begun - it.offered).as_millis()).max().unwrap_or(0);
+    let waited = items.iter().map(|it| (begun - it.offered).as_millis()).max().unwrap_or(0);
     let made = results.iter().filter(|it| it.is_ok()).count();
     let no_room = results.iter().filter(|it| **it == Err(NoResult::NoRoom)).count();
-    let judged = judgement.map_or(String::new(), |it| {
+    let prediction = judgement.map_or(String::new(), |it| {
         let load = if call.has_backlog() { "backlog" } else { "calm" };
         shared.metrics.predicted(service, load, it.predicted_ms, it.took_ms);
         format!(" load={load} predicted_ms={:.0} took_ms={:.0}", it.predicted_ms, it.took_ms)
@@ -207,59 +210,59 @@
     let detail = format!(
         "service={service} target={} pieces={} most={} made={made} no_room={no_room} left={} \
          used_kb={} room_kb={} moved_kb={} waited_ms={waited} ms={ms} stated_ms={:.0} shared={} \
-         end={end}{judged}",
+         end={end}{prediction}",
         call.target,
-        pieces.len(),
+        items.len(),
         call.sizes.pieces,
         call.left,
         call.used_bytes / 1000,
         call.sizes.room_bytes / 1000,
         moved / 1000,
-        call.sizes.stated_ms(pieces.len()),
+        call.sizes.stated_ms(items.len()),
         call.is_shared,
     );
     emit(events::BATCH, &shared.settings.instance, &detail);
     shared.metrics.batches.add(1, &[label("end", end)]);
-    shared.metrics.pieces.add(pieces.len() as u64, &[label("end", end)]);
+    shared.metrics.pieces.add(items.len() as u64, &[label("end", end)]);
     shared.metrics.moved_bytes.add(moved, &[label("to", "stage")]);
 }
 
-/// Bytes that a call moves between failure domains.
+/// Bytes that a call transfers between failure domains.
 fn moved_bytes(shared: &IngressShared, call: &Call) -> u64 {
     let domain = shared.open_target(&call.target).map(|it| it.domain);
     let is_moved = |it: &&Waiting| !it.domain.is_empty() && Some(&it.domain) != domain.as_ref();
     call.pieces.iter().filter(is_moved).map(|it| it.near_bytes).sum()
 }
 
-async fn ask_target(
+async fn call_target(
     shared: &Arc<IngressShared>,
     (call, permit): (&Call, Option<Permit>),
-    pieces: &[Pending],
-    patience: Millis,
-) -> Result<Vec<PieceResult>, NoCall> {
+    items: &[Pending],
+    timeout_ms: Millis,
+) -> Result<Vec<PieceResult>, CallFailure> {
     let target = shared.open_target(&call.target).ok_or(CallEnd::Full)?;
     let permit = match permit {
         Some(it) => it,
         None => limits::ask(shared, &target).await.map_err(|_| CallEnd::Full)?,
     };
     let body =
-        wire::run_body(pieces.iter().map(|it| (&it.work, left(it.deadline).as_millis() as Millis)));
-    let limit = Duration::from_millis(patience.max(LEAST_CALL_MS));
+        wire::run_body(items.iter().map(|it| (&it.work, left(it.deadline).as_millis() as Millis)));
+    let limit = Duration::from_millis(timeout_ms.max(MIN_CALL_TIMEOUT_MS));
     let call = OwnCall { path: wire::RUN_PATH, body, payload: Payload::Pieces };
     let answer = own_call(shared, (&target, permit), call, limit).await;
-    let (status, head, body) = answer.map_err(|it| NoCall {
+    let (status, head, body) = answer.map_err(|it| CallFailure {
         end: if matches!(it, NoAnswer::Barred(_)) { CallEnd::Full } else { CallEnd::Failed },
-        broken: (it == NoAnswer::Broken).then(|| target.clone()),
+        lost_target: (it == NoAnswer::Broken).then(|| target.clone()),
         is_backoff: it == NoAnswer::Barred(Barred::BackingOff),
     })?;
     if head.notice.backoff.is_requested() {
-        return Err(NoCall { end: CallEnd::Full, broken: None, is_backoff: true });
+        return Err(CallFailure { end: CallEnd::Full, lost_target: None, is_backoff: true });
     }
     if head.is_declined {
         return Err(CallEnd::Full.into());
     }
     let results = wire::parse_run(&body).map_err(|_| CallEnd::Failed)?;
-    if !status.is_success() || results.len() != pieces.len() {
+    if !status.is_success() || results.len() != items.len() {
         return Err(CallEnd::Failed.into());
     }
     Ok(results)
--- a/crates/holdpointd/src/ingress/batches/inputs.rs
+++ b/crates/holdpointd/src/ingress/batches/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs that pieces which were asked for together have in common.
+//! Inputs shared by items that were requested together.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -7,39 +7,39 @@
 
 use crate::ingress::{piece_ask::PieceAsk, shared::IngressShared};
 
-/// Inputs of pieces that were asked for together.
+/// State shared by items that were requested together.
 #[derive(Debug)]
 pub(super) struct GroupInputs {
-    /// Pieces whose target has not fetched its inputs yet.
+    /// Number of items whose target has not fetched the inputs yet.
     pub(super) unfetched: AtomicUsize,
-    used_up: Mutex<Vec<(Name, String)>>,
-    /// What their request is confined to.
+    releasable: Mutex<Vec<(Name, String)>>,
+    /// Bounds that their request is confined to.
     pub(super) within: Within,
-    /// Their request.
+    /// Fingerprint of their request.
     pub(super) fingerprint: Option<Fingerprint>,
 }
 
 impl GroupInputs {
-    pub(super) fn new(asks: &mut [PieceAsk], within: Within) -> GroupInputs {
-        let fingerprint = asks.first().and_then(|it| it.fingerprint);
-        let used_up = asks.first_mut().map(|it| std::mem::take(&mut it.used_up));
+    pub(super) fn new(requests: &mut [PieceAsk], within: Within) -> GroupInputs {
+        let fingerprint = requests.first().and_then(|it| it.fingerprint);
+        let releasable = requests.first_mut().map(|it| std::mem::take(&mut it.releasable));
         GroupInputs {
             fingerprint,
-            unfetched: AtomicUsize::new(asks.len()),
-            used_up: Mutex::new(used_up.unwrap_or_default()),
+            unfetched: AtomicUsize::new(requests.len()),
+            releasable: Mutex::new(releasable.unwrap_or_default()),
             within,
         }
     }
 
-    /// Counts a piece whose target has its inputs, and gives the inputs up if it was the last one.
-    pub(super) fn fetched(&self, shared: &IngressShared) {
+    /// Counts an item whose target has fetched the inputs, and releases them after the last one.
+    pub(super) fn record_fetched(&self, shared: &IngressShared) {
         if self.unfetched.fetch_sub(1, Ordering::AcqRel) != 1 {
             return;
         }
-        let used_up = std::mem::take(&mut *self.used_up.lock());
+        let releasable = std::mem::take(&mut *self.releasable.lock());
         let release = |(service, handle): (Name, String)| {
             shared.releases.release(&service, handle);
         };
-        used_up.into_iter().for_each(release);
+        releasable.into_iter().for_each(release);
     }
 }
--- a/crates/holdpointd/src/ingress/batches/targets.rs
+++ b/crates/holdpointd/src/ingress/batches/targets.rs
@@ -1,60 +1,60 @@
-//! The targets of one service, as its batcher gets them.
+//! The targets of one service, with the reasons why they get no calls.
 
 use std::collections::BTreeMap;
 
 use holdpoint_core::directory::{TargetId, TargetInstance};
 
-/// A target as the batchers know it.
+/// State of a target that the batchers need.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct KnownTarget {
     pub(super) domain: String,
-    /// Whether it gets no more calls.
+    /// Whether it gets no new calls.
     pub(super) is_closed: bool,
-    /// Whether only the evacuation of its failure domain keeps it from work.
-    is_held: bool,
+    /// Whether it gets no calls because its failure domain is evacuated, though it is not draining.
+    is_suspended: bool,
 }
 
-impl Known {
-    pub(super) fn new(target: &TargetInstance, is_evacuated: bool, is_far: bool) -> Known {
-        let is_held = is_evacuated && !target.is_leaving;
-        let is_closed = target.is_leaving || is_held || is_far;
-        Known { domain: target.domain.clone(), is_closed, is_held }
+impl KnownTarget {
+    pub(super) fn new(target: &TargetInstance, is_evacuated: bool, is_far: bool) -> KnownTarget {
+        let is_suspended = is_evacuated && !target.is_leaving;
+        let is_closed = target.is_leaving || is_suspended || is_far;
+        KnownTarget { domain: target.domain.clone(), is_closed, is_suspended }
     }
 }
 
 /// The targets of one service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Targets {
-    pub(super) known: BTreeMap<TargetId, Known>,
-    /// Those that get no calls here only since they stand in another region.
+    pub(super) known: BTreeMap<TargetId, KnownTarget>,
+    /// Open targets that get no calls because they are in another region.
     pub(super) far: Vec<TargetId>,
-    /// How many get calls, and how many only an evacuation keeps from work.
+    /// Number of targets that get calls, and of those that are suspended.
     open: usize,
-    held: usize,
+    suspended: usize,
 }
 
 impl Targets {
-    pub(super) fn put(&mut self, id: &str, known: Known) {
+    pub(super) fn put(&mut self, id: &str, known: KnownTarget) {
         self.remove(id);
         self.open += usize::from(!known.is_closed);
-        self.held += usize::from(known.is_held);
+        self.suspended += usize::from(known.is_suspended);
         self.known.insert(id.to_owned(), known);
     }
 
     pub(super) fn remove(&mut self, id: &str) -> bool {
         let Some(it) = self.known.remove(id) else { return false };
         self.open -= usize::from(!it.is_closed);
-        self.held -= usize::from(it.is_held);
+        self.suspended -= usize::from(it.is_suspended);
         true
     }
 
-    /// Whether none is left but such that leave.
-    pub(super) fn all_leave(&self) -> bool {
-        self.held == 0 && self.open == 0
+    /// Whether all targets are draining: none is open or suspended.
+    pub(super) fn all_draining(&self) -> bool {
+        self.suspended == 0 && self.open == 0
     }
 
-    /// Whether none is left, since all that stay stand in evacuated failure domains.
+    /// Whether no target is open and some are suspended by an evacuation.
     pub(super) fn is_evacuated(&self) -> bool {
-        self.held != 0 && self.open == 0
+        self.suspended != 0 && self.open == 0
     }
 }
--- a/crates/holdpointd/src/ingress/limits.rs
+++ b/crates/holdpointd/src/ingress/limits.rs
@@ -1,9 +1,10 @@
-//! Limits that targets name in their answers: who keeps their accounts, and what instances tell each other.
+//! Rate limits that targets state in their responses.
 //!
-//! Whatever is sent to a target needs a [`Permit`], which only this module gives. For a target that names a
-//! limit, the instance that batches and places for its service gives it; the others ask that one.
+//! Every send to a target needs a [`Permit`], which only this module issues. For a target with a limit, one
+//! instance owns the rate-limit state: the one that batches and places for the target's service. Other
+//! instances request permits from it.
 
-mod news;
+mod updates;
 
 use std::{sync::Arc, time::Duration};
 
@@ -30,47 +31,47 @@
     metrics::label,
 };
 
-use self::news::Outbox;
-pub(crate) use self::news::{run, take_news};
+use self::updates::Outbox;
+pub(crate) use self::updates::{run, take_news};
 
-/// How long a target gets nothing whose account nobody could be asked about, in milliseconds.
-const UNKNOWN_MS: Millis = 250;
-/// Targets that are asked about for one decision.
-const MOST_ASKED: u32 = 4;
-/// Longest time that a request waits until a target takes one more.
+/// How long nothing is sent to a target if no owner of its rate limit answered.
+const OWNER_RETRY_MS: Millis = 250;
+/// Maximum number of targets for which one decision requests a permit.
+const MAX_PERMIT_REQUESTS: u32 = 4;
+/// Maximum time that a request waits for a permit.
 pub(crate) const LONGEST_WAIT: Duration = Duration::from_millis(400);
 
-/// The right to send one request to a target.
+/// Permission to send one request to a target.
 #[derive(Debug)]
 pub(crate) struct Permit {
-    /// Whether it counts against a limit.
+    /// Whether it was counted against a limit.
     is_taken: bool,
 }
 
-/// What came of the choice of a target for a prompt.
+/// Outcome of choosing a target for a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Assignment {
-    /// The prompt goes to a target, and counts against its limit where that is so.
+    /// The prompt goes to a target.
     To {
         /// The target.
         target: TargetId,
-        /// Whether it counts.
+        /// Whether it was counted against the target's rate limit.
         is_taken: bool,
     },
-    /// A target takes one more in so many milliseconds, which the request can wait.
+    /// A target accepts the next request in this many milliseconds, and the request can wait until then.
     Wait(Millis),
-    /// Every target has got what it takes.
+    /// The rate limits of all targets are used up for longer than the request can wait.
     Later {
-        /// When the first one takes one more, in milliseconds.
+        /// Milliseconds until the first target accepts another request.
         soonest_ms: Millis,
-        /// When the request may come back, in milliseconds.
+        /// Retry-After of the request, in milliseconds.
         return_ms: Millis,
     },
-    /// There is no target for it.
+    /// No target is available.
     Nowhere,
 }
 
-/// Limits of targets, as this instance knows them.
+/// Rate limits of targets, as known to this instance.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
     known: Mutex<TargetLimits>,
@@ -78,7 +79,7 @@
 }
 
 impl Limits {
-    /// Takes in what a target's answer says of its limit, to a request that was sent at a time.
+    /// Records the limit that a target stated in its response to a request sent at `sent`.
     pub(crate) fn observe(
         &self,
         shared: &IngressShared,
@@ -89,53 +90,53 @@
         let made = AnswerSpan { sent, received: shared.clock.now() };
         let its = (target.id.as_str(), target.service.as_str());
         let change = self.known.lock().observe(made, its, named);
-        self.note(shared, &target.id, change, "answer");
+        self.log_change(shared, &target.id, change, "answer");
         if change != Change::Nothing {
-            self.outbox.tell(&target.id);
+            self.outbox.queue_for_owner(&target.id);
         }
     }
 
-    /// Takes in that a target is gone or has started anew.
+    /// Removes the limit of a target that is gone or has restarted.
     pub(crate) fn remove(&self, id: &str) {
         self.known.lock().remove(id);
     }
 
-    /// A target's limit for the log; nothing where it has none.
+    /// Formats a target's limit for a log line; empty if it has none.
     pub(crate) fn shown(&self, id: &str) -> String {
         let per_s = self.known.lock().per_s(id);
         per_s.map_or(String::new(), |it| format!(" limit_per_s={it}"))
     }
 
-    /// Whether this instance keeps the account of a limit.
+    /// Whether this instance owns the state of any rate limit.
     pub(crate) fn keeps_any(&self) -> bool {
         self.known.lock().keeps_any()
     }
 
-    /// Whether a permit still allows a send: one that was given before the target named a limit does not.
+    /// Whether a permit still allows a send. One issued before the target stated a limit does not.
     pub(crate) fn allows(&self, permit: &Permit, id: &str) -> bool {
         permit.is_taken || !self.known.lock().is_limited(id)
     }
 
-    /// Has someone take in what the targets of a service still take that name a limit.
+    /// Passes the remaining allowance of each rate-limited target of a service to `apply`.
     pub(crate) fn allowances(
         &self,
         shared: &IngressShared,
         service: &str,
-        take_in: impl FnMut(Allowance<'_>),
+        apply: impl FnMut(Allowance<'_>),
     ) {
         let known = self.known.lock();
         if !known.is_empty() {
-            let keeping = own_keeping(shared);
-            known.allowances(shared.clock.now(), service, keeping).for_each(take_in);
+            let keeping = ownership(shared);
+            known.allowances(shared.clock.now(), service, keeping).for_each(apply);
         }
     }
 
-    /// Requests a second that the targets of a service which name a limit take together.
+    /// Total rate of the rate-limited targets of a service, in requests per second.
     pub(crate) fn total_per_s(&self, service: &str) -> f64 {
         self.known.lock().total_per_s(service)
     }
 
-    fn note(&self, shared: &IngressShared, id: &str, change: Change, source: &str) {
+    fn log_change(&self, shared: &IngressShared, id: &str, change: Change, source: &str) {
         let (name, before) = match change {
             Change::Nothing => return,
             Change::Began => ("began", String::new()),
@@ -149,21 +150,26 @@
     }
 }
 
-/// How surely this instance is the only one that keeps its accounts.
-fn own_keeping(shared: &IngressShared) -> Keeping {
+/// Confidence that this instance is the only owner of its rate limits, from the number of possible owners that
+/// respond.
+fn ownership(shared: &IngressShared) -> Keeping {
     let (reached, of) = shared.peers.owners_reached();
     if reached == of { Keeping::Sure } else { Keeping::Unsure { reached, of } }
 }
 
-/// The peer that keeps the account of a target's limit; `None` where this instance does. Those of earlier
-/// builds keep none.
-fn keeper_of(shared: &IngressShared, target: &TargetInstance) -> Option<String> {
+/// The peer that owns the state of a target's rate limit; `None` if this instance does. Peers of earlier
+/// versions own none.
+fn owner_of(shared: &IngressShared, target: &TargetInstance) -> Option<String> {
     let region = shared.topology.region_of(&target.domain);
     let region = region.filter(|it| shared.topology.is_split() && shared.peers.has_live_in(it));
     shared.peers.owner_since(LIMITS, region.map_or(Owners::Any, Owners::Of), &target.service)
 }
 
-/// Has a request let through to a target.
+/// Requests a permit for a target, from the owner of its rate limit.
+///
+/// # Errors
+///
+/// The milliseconds after which the target accepts another request.
 pub(crate) async fn ask(
     shared: &Arc<IngressShared>,
     target: &TargetInstance,
@@ -172,12 +178,12 @@
     let limits = &shared.limits;
     let known = limits.known.lock().news(now, &target.id).filter(|it| it.per_s.is_some());
     let Some(known) = known else { return Ok(Permit { is_taken: false }) };
-    let slot = match keeper_of(shared, target) {
-        None => take_here(shared, target, own_keeping(shared)),
+    let slot = match owner_of(shared, target) {
+        None => take_local(shared, target, ownership(shared)),
         Some(it) => {
             let slot = shared.peers.take_slot(shared, &it, known).await;
-            let slot = slot.unwrap_or(Slot::Refused(UNKNOWN_MS));
-            note_answer(shared, target, now, slot);
+            let slot = slot.unwrap_or(Slot::Refused(OWNER_RETRY_MS));
+            apply_slot(shared, target, now, slot);
             slot
         }
     };
@@ -191,29 +197,29 @@
     }
 }
 
-/// Has a request let through to a target whose account this instance keeps; `None` where a peer does.
-pub(crate) fn ask_here(
+/// Takes a permit for a target whose rate limit this instance owns; `None` if a peer owns it.
+pub(crate) fn acquire_local(
     shared: &IngressShared,
     target: &TargetInstance,
 ) -> Option<Result<Permit, Millis>> {
     if !shared.limits.known.lock().is_limited(&target.id) {
         return Some(Ok(Permit { is_taken: false }));
     }
-    if keeper_of(shared, target).is_some() {
+    if owner_of(shared, target).is_some() {
         return None;
     }
-    Some(match take_here(shared, target, own_keeping(shared)) {
+    Some(match take_local(shared, target, ownership(shared)) {
         Slot::Free | Slot::Taken => Ok(Permit { is_taken: true }),
         Slot::Refused(ms) => Err(ms),
     })
 }
 
-fn take_here(shared: &IngressShared, target: &TargetInstance, keeping: Keeping) -> Slot {
+fn take_local(shared: &IngressShared, target: &TargetInstance, keeping: Keeping) -> Slot {
     shared.limits.known.lock().take(shared.clock.now(), &target.id, keeping)
 }
 
-/// Takes in what whoever keeps a target's account has said.
-fn note_answer(shared: &IngressShared, target: &TargetInstance, asked: Millis, slot: Slot) {
+/// Applies the response of the owner of a target's rate limit.
+fn apply_slot(shared: &IngressShared, target: &TargetInstance, asked: Millis, slot: Slot) {
     let limits = &shared.limits;
     match slot {
         Slot::Taken => (),
@@ -222,26 +228,30 @@
             let its = (target.id.as_str(), target.service.as_str());
             let made = AnswerSpan { sent: asked, received: shared.clock.now() };
             let change = limits.known.lock().learn(made, its, None);
-            limits.note(shared, &target.id, change, "peer");
+            limits.log_change(shared, &target.id, change, "peer");
         }
     }
 }
 
-/// Lets a request of a peer through to a target whose account this instance keeps.
+/// Answers a peer's request for a permit for a target whose rate limit this instance owns.
 pub(crate) fn answer_slot(shared: &IngressShared, known: LimitNews) -> Slot {
-    let Some(target) = shared.target(&known.target) else { return Slot::Refused(UNKNOWN_MS) };
-    if keeper_of(shared, &target).is_some() {
-        return Slot::Refused(UNKNOWN_MS);
+    let Some(target) = shared.target(&known.target) else { return Slot::Refused(OWNER_RETRY_MS) };
+    if owner_of(shared, &target).is_some() {
+        return Slot::Refused(OWNER_RETRY_MS);
     }
     if shared.limits.known.lock().is_stale(&known) {
         return Slot::Free;
     }
     take_news(shared, vec![known]);
-    take_here(shared, &target, own_keeping(shared))
+    take_local(shared, &target, ownership(shared))
 }
 
-/// Chooses a target and has a call let through to it. Where every target has got what it takes, the error
-/// tells in how many milliseconds one takes more.
+/// Chooses a target and takes a permit for it.
+///
+/// # Errors
+///
+/// If the rate limits of all targets tried are used up, the error holds the milliseconds until one accepts
+/// another request.
 pub(crate) async fn choose(
     shared: &Arc<IngressShared>,
     pool: &Pool,
@@ -250,12 +260,12 @@
     region: Option<&str>,
 ) -> Result<(Choice, Permit), NoTarget> {
     let mut soonest = Millis::MAX;
-    for _ in 0..MOST_ASKED {
+    for _ in 0..MAX_PERMIT_REQUESTS {
         let now = shared.clock.now();
         let choice = pool.choose(now, policy, call, region, shared)?;
         let permit = match shared.target(&choice.address) {
             Some(it) => ask(shared, &it).await,
-            // Whoever sends to it finds that it is gone.
+            // The sender will find that the target is gone.
             None => Ok(Permit { is_taken: false }),
         };
         match permit {
@@ -269,7 +279,8 @@
     Err(NoTarget::Limited(soonest))
 }
 
-/// Chooses the target that reads a prompt of any instance.
+/// Chooses a target for a prompt of any instance. The request can wait up to `patience_ms` milliseconds for a
+/// permit.
 pub(crate) async fn assign(
     shared: &Arc<IngressShared>,
     service: &str,
@@ -293,8 +304,9 @@
     }
 }
 
-/// When a request may come back that is refused since every target of its service has got what it takes, where
-/// one takes more in so many milliseconds and so many instances decide: after those that were refused before it.
+/// Retry-After, in milliseconds, of a request refused because all targets of its service have used up their
+/// rate limits: the next one accepts a request in `soonest` milliseconds, and `deciders` instances place
+/// requests. Refused requests are spread over time.
 pub(crate) fn return_ms(
     shared: &IngressShared,
     pool: &Pool,
@@ -306,7 +318,7 @@
 }
 
 impl Permit {
-    /// The one that comes with a target that a peer has assigned and counted against its limit.
+    /// The permit for a target that a peer has assigned and counted against its limit.
     pub(crate) fn assigned() -> Permit {
         Permit { is_taken: true }
     }
--- a/crates/holdpointd/src/ingress/piece_ask.rs
+++ b/crates/holdpointd/src/ingress/piece_ask.rs
@@ -1,4 +1,4 @@
-//! What an instance asks of the one that batches a service, and what it gets.
+//! Requests for work items to the instance that batches for a service, and their results.
 
 use holdpoint_core::{
     confinement::Confinement,
@@ -9,70 +9,70 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A piece that an instance asks for. Times are spans, since clocks differ.
+/// A request for one work item. Times are durations, since the clocks of instances differ.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct PieceAsk {
-    /// What to make.
+    /// The work item.
     pub(crate) work: PieceWork,
-    /// Route of its request; empty where a peer of an earlier version asks.
+    /// Route of its request; empty if sent by a peer of an earlier version.
     #[serde(default)]
     pub(crate) route: Name,
-    /// Milliseconds until its result should be there; negative where that is over.
+    /// Milliseconds until its result is due to meet the latency objective; negative if this has passed.
     pub(crate) due_in_ms: i64,
-    /// Milliseconds until its request ends.
+    /// Milliseconds until its request times out.
     pub(crate) left_ms: Millis,
-    /// Rank of its request; 0 goes first.
+    /// Rank of its request; 0 comes first.
     pub(crate) rank: u32,
-    /// Room that its result takes, in bytes.
+    /// Size of its result in bytes.
     pub(crate) bytes: u64,
-    /// Failure domain that most of its inputs come from or its result goes to.
+    /// Failure domain that most of its inputs come from or that its result is read in.
     pub(crate) domain: String,
-    /// Bytes that are moved between failure domains if it is made in another one.
+    /// Bytes transferred between failure domains if it runs in another one.
     pub(crate) near_bytes: u64,
-    /// Milliseconds until its result must be there, for the request to be served at all; negative
-    /// where that is over. Peers of earlier versions know it by another name.
+    /// Milliseconds until its result is of no use to the request; negative if this has passed. The serialised
+    /// name is that of earlier versions.
     #[serde(rename = "give_up_in_ms")]
     pub(crate) deadline_in_ms: i64,
-    /// Milliseconds until it is made once it cannot be in time any more; peers of earlier versions name
-    /// none, and then its deadline counts.
+    /// Milliseconds until its result is due once it can't meet the objective. Peers of earlier versions send
+    /// none; `deadline_in_ms` applies then.
     #[serde(default)]
     pub(crate) late_due_in_ms: Option<i64>,
-    /// Whether it is refused at once where it would not be there in time: nothing has been made for
-    /// its request.
+    /// Whether it is refused at once if it can't be in time, as its request has used no capacity yet.
     pub(crate) is_refusable: bool,
-    /// Milliseconds until the results that it is made from expire.
+    /// Milliseconds until its inputs expire.
     #[serde(default)]
     pub(crate) inputs_for_ms: Option<Millis>,
-    /// Inputs that nobody needs any more once all pieces asked for together have them, with the
-    /// service that keeps each; stands at the first of these pieces.
-    #[serde(default)]
-    pub(crate) used_up: Vec<(Name, String)>,
+    /// Inputs that can be released once all items requested together have them, with the service that stores
+    /// each; set on the first of these items.
+    #[serde(default, rename = "used_up")]
+    pub(crate) releasable: Vec<(Name, String)>,
     /// Regions that its request is confined to.
     #[serde(default, skip_serializing_if = "Confinement::is_free")]
     pub(crate) confinement: Confinement,
-    /// Fingerprint of its request; stands at the first of the pieces that are asked for together. Peers of
-    /// earlier versions tell none.
+    /// Fingerprint of its request; set on the first of the items requested together. Peers of earlier versions
+    /// send none.
     #[serde(default)]
     pub(crate) fingerprint: Option<Fingerprint>,
-    /// What comes after; stands at the first of the pieces that are asked for together, where they may be
-    /// refused. Peers of earlier versions tell nothing, and then only their own stage counts.
+    /// The stages that follow; set on the first of the items requested together if they may be refused. Peers
+    /// of earlier versions send none, and only this stage is checked then.
     #[serde(default)]
-    pub(crate) chain: Option<ChainAhead>,
+    pub(crate) chain: Option<LaterStages>,
 }
 
-/// What comes after the stage that pieces are asked for.
+/// The stages that follow the requested one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct ChainAhead {
-    /// Stages after it.
+pub(crate) struct LaterStages {
+    /// Stages that follow.
     pub(crate) stages: Vec<StageAhead>,
-    /// Milliseconds until the last one's results should be there; negative where that is over.
+    /// Milliseconds until the last stage's results are due to meet the latency objective; negative if this has
+    /// passed.
     pub(crate) end_in_ms: i64,
-    /// Milliseconds until they must be there, for the request to be served at all.
+    /// Milliseconds until these results are of no use to the request.
     pub(crate) deadline_in_ms: i64,
-    /// Whether the asker wants to know that the request can only be served late, and then asks again.
+    /// Whether the sender wants an error if the request can only be served late; it sends the items again then.
     #[serde(default)]
     pub(crate) accepts_late: bool,
 }
 
-/// A result's handle, or why there is none.
+/// Handle of a result, or why there is none.
 pub(crate) type PieceResult = Result<String, NoResult>;
--- a/crates/holdpointd/src/ingress/pools.rs
+++ b/crates/holdpointd/src/ingress/pools.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of each service: its targets, its retry budget, its times.
+//! State of each service on an instance: its targets, retry budget and observed times.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,35 +28,35 @@
 
 use crate::ingress::{regions::FAR_REGION_MS, shared::IngressShared};
 
-/// Failures in a row that take a target out for a while.
+/// Consecutive failures that eject a target.
 const EJECT_FAILURES: u32 = 2;
-/// How long that is at first, in milliseconds.
+/// Duration of a target's first ejection.
 const EJECT_MS: u64 = 1500;
-/// Part of a pool that is never taken out.
+/// Fraction of a pool that is never ejected.
 const EJECT_FLOOR: f64 = 0.3;
-/// Age up to which an instance's word that it batches a service counts, in milliseconds: it is told
-/// every 250 ms.
-const TOLD_MS: Millis = 600;
-/// Age at which a load report has lost half its weight, in milliseconds.
-const REPORT_TRUST_MS: u64 = 400;
+/// Age up to which a report of the instance that batches for a service counts. Reports are sent more than twice
+/// in this time.
+const MAX_REPORT_AGE_MS: Millis = 600;
+/// Half-life of the weight of a load report.
+const REPORT_HALF_LIFE_MS: u64 = 400;
 
-/// Least returns a second that are told.
-const LEAST_RETURNS: f64 = 0.1;
+/// Lower bound of the rate that the retry times of refused requests are spaced by.
+const MIN_RETRIES_PER_S: f64 = 0.1;
 
-/// One service as an instance sees it.
+/// State of one service on an instance.
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) service: Name,
     router: Mutex<Router>,
     budget: Mutex<SharedBudget>,
-    /// Time to the first part of an answer, in milliseconds.
+    /// Time to the first part of a response, in milliseconds.
     pub(crate) times: Mutex<Times>,
-    /// Time of a stage here, as the instance that batches it has told of late.
+    /// Time of a stage of the service, as recently reported by the instance that batches for it.
     stage_time: Mutex<RecentTime>,
-    /// When requests may come back that were refused for its targets' limits.
+    /// Schedule of retry times of requests refused because of its targets' rate limits.
     returns: Mutex<Returns>,
-    /// Until when whoever places prompts of the service refuses them, since its targets have got what they
-    /// take.
+    /// Time until which the instance that places prompts for the service refuses them because its targets' rate
+    /// limits are used up, in milliseconds.
     refused_until: AtomicU64,
     policy: Policy,
 }
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 struct Targets {
     members: BTreeMap<TargetId, Member>,
-    /// Those that are cold, and until when in milliseconds.
+    /// Cold targets, with the time until which they are cold, in milliseconds.
     cold: HashMap<TargetId, Millis>,
 }
 
@@ -85,22 +85,22 @@
     }
 }
 
-/// A target as routing knows it.
-fn member(target: &TargetInstance, is_held: bool) -> Member {
+/// Converts a target to a member of a routing pool.
+fn member(target: &TargetInstance, is_evacuated: bool) -> Member {
     Member {
         address: target.id.clone(),
         domain: target.domain.clone(),
         leaving: target.is_leaving,
-        held: is_held,
+        held: is_evacuated,
     }
 }
 
-/// All services that were asked for.
+/// The pools of all services in use.
 #[derive(Debug)]
 pub(crate) struct Pools {
     pools: RwLock<HashMap<Name, Arc<Pool>>>,
     members: Mutex<HashMap<Name, Targets>>,
-    /// Calls a second that a cold target carries, by service.
+    /// Calls per second that a cold target can handle, by service.
     cold_rates: Mutex<HashMap<Name, f64>>,
     salt: String,
     domain: String,
@@ -112,7 +112,7 @@
 }
 
 impl Pools {
-    /// Makes an empty set.
+    /// Creates an empty set.
     pub(crate) fn new(settings: &IngressSettings) -> Pools {
         Pools {
             pools: RwLock::default(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes in how many instances share the retry budget.
+    /// Sets the number of instances that share the retry budget.
     pub(crate) fn set_instances(&self, instances: usize) {
         self.instances.store(instances.max(1), Ordering::Release);
     }
@@ -139,17 +139,17 @@
         Terms { ratio: self.ratio, window_ms: self.window_ms, slack: self.slack, instances }
     }
 
-    /// Takes in what the targets of each service carry as long as they are cold.
+    /// Applies the rates of cold targets from the configuration.
     pub(crate) fn configure(&self, configuration: &Configuration) {
         let services = configuration.services.values();
         let rates = services.filter_map(|it| Some((it.name.clone(), it.cold?.per_s))).collect();
         for (name, pool) in self.pools.read().iter() {
-            pool.router.lock().set_cold_rate(rate_of(&rates, name));
+            pool.router.lock().set_cold_rate(cold_rate(&rates, name));
         }
         *self.cold_rates.lock() = rates;
     }
 
-    /// Takes in the targets of all services.
+    /// Replaces the targets of all services.
     pub(crate) fn set_targets(
         &self,
         now: Millis,
@@ -169,18 +169,18 @@
         *self.members.lock() = targets;
     }
 
-    /// Takes in one target that is new, has changed or is gone, whether its failure domain is evacuated, and
-    /// until when it is cold.
+    /// Adds, updates or removes one target, given whether its failure domain is evacuated and until when it is
+    /// cold, in milliseconds.
     pub(crate) fn put_target(
         &self,
         now: Millis,
         id: &str,
         found: Option<&TargetInstance>,
-        (is_held, cold_until): (bool, Millis),
+        (is_evacuated, cold_until): (bool, Millis),
     ) {
         self.remove_if(id, |service| found.is_none_or(|it| it.service != service));
         let Some(it) = found else { return };
-        let member = member(it, is_held);
+        let member = member(it, is_evacuated);
         let mut all = self.members.lock();
         all.entry(it.service.clone()).or_default().put(now, member.clone(), cold_until);
         if let Some(pool) = self.pools.read().get(&it.service) {
@@ -190,14 +190,14 @@
         }
     }
 
-    /// Takes in that a target is gone, with all that was learned of it.
+    /// Removes a target and all that was learned about it.
     pub(crate) fn remove_target(&self, id: &str) {
         self.remove_if(id, |_| true);
     }
 
-    fn remove_if(&self, id: &str, is_its: impl Fn(&str) -> bool) {
+    fn remove_if(&self, id: &str, is_match: impl Fn(&str) -> bool) {
         let mut all = self.members.lock();
-        for (service, targets) in all.iter_mut().filter(|it| is_its(it.0)) {
+        for (service, targets) in all.iter_mut().filter(|it| is_match(it.0)) {
             targets.cold.remove(id);
             if targets.members.remove(id).is_none() {
                 continue;
@@ -208,13 +208,13 @@
         }
     }
 
-    /// The part of a cold target's rate that a decision of this instance may draw on, where `decides` says
-    /// whether it places all prompts of the service.
+    /// Share of a cold target's rate that a decision of this instance may use; `decides` is whether it places
+    /// all prompts of the service.
     pub(crate) fn share(&self, decides: bool) -> Share {
         if decides { Share::Whole } else { Share::Of(self.instances.load(Ordering::Acquire)) }
     }
 
-    /// The pool of a service.
+    /// Returns the pool of a service, creating it if there is none.
     pub(crate) fn of(&self, now: Millis, service: &str) -> Arc<Pool> {
         if let Some(it) = self.pools.read().get(service) {
             return it.clone();
@@ -223,12 +223,12 @@
         if let Some(it) = self.members.lock().get(service) {
             it.set_in(now, &mut pool.router.lock());
         }
-        pool.router.lock().set_cold_rate(rate_of(&self.cold_rates.lock(), service));
+        pool.router.lock().set_cold_rate(cold_rate(&self.cold_rates.lock(), service));
         self.pools.write().entry(service.to_owned()).or_insert_with(|| Arc::new(pool)).clone()
     }
 }
 
-fn rate_of(rates: &HashMap<Name, f64>, service: &str) -> f64 {
+fn cold_rate(rates: &HashMap<Name, f64>, service: &str) -> f64 {
     rates.get(service).copied().unwrap_or(0.0)
 }
 
@@ -238,7 +238,7 @@
             route: Route::Affinity,
             subset: u32::MAX,
             choices: 4,
-            report_trust_ms: REPORT_TRUST_MS,
+            report_trust_ms: REPORT_HALF_LIFE_MS,
             eject_failures: EJECT_FAILURES,
             eject_ms: EJECT_MS,
             eject_floor: EJECT_FLOOR,
@@ -258,8 +258,8 @@
         }
     }
 
-    /// Chooses a target, one of `region` as long as that has any. `policy` is that of a trial's arm, if the
-    /// request falls to one. It may still be another target once the call is made.
+    /// Chooses a target, in `region` if that has any. `policy` is that of a trial's arm if the request is
+    /// assigned to one. The call may still go to another target.
     pub(crate) fn choose(
         &self,
         now: Millis,
@@ -278,30 +278,30 @@
         router.choose_in(now, policy.unwrap_or(&self.policy), call, region, &mut rand::rng())
     }
 
-    /// Counts a call, of any instance where it is a prompt, as placed at a target.
+    /// Counts a call as placed at a target. Prompts of other instances are counted too.
     pub(crate) fn placed(&self, now: Millis, target: &str, call: &Call<'_>) {
         let mut router = self.router.lock();
         router.placed(now, target, call);
         router.spend_cold(now, target, call.share);
     }
 
-    /// When a request may come back that is refused, in milliseconds, where its targets take `per_s` requests a
-    /// second and one more in `soonest` milliseconds: one after the other.
+    /// Retry-After of a refused request, in milliseconds: its targets accept `per_s` requests per second and
+    /// the next one in `soonest` milliseconds, and refused requests are spread accordingly.
     pub(crate) fn return_ms(&self, now: Millis, soonest: Millis, per_s: f64) -> Millis {
-        self.returns.lock().take(now, soonest, 1000.0 / per_s.max(LEAST_RETURNS))
+        self.returns.lock().take(now, soonest, 1000.0 / per_s.max(MIN_RETRIES_PER_S))
     }
 
-    /// Takes in that whoever places prompts of the service refuses them for so long.
+    /// Records that the instance that places prompts for the service refuses them for `ms` milliseconds.
     pub(crate) fn refuse_for(&self, now: Millis, ms: Millis) {
         self.refused_until.store(now + ms, Ordering::Release);
     }
 
-    /// For how much longer that is so, in milliseconds.
+    /// Remaining time of that refusal, in milliseconds.
     pub(crate) fn refused_ms(&self, now: Millis) -> Millis {
         self.refused_until.load(Ordering::Acquire).saturating_sub(now)
     }
 
-    /// Targets that get no calls of this instance for a while.
+    /// Targets that this instance has ejected.
     pub(crate) fn ejected(&self, now: Millis) -> Vec<TargetId> {
         self.router.lock().ejected(now)
     }
@@ -316,32 +316,32 @@
         self.router.lock().ended(now, target, work, end);
     }
 
-    /// Takes in a load that a target told.
+    /// Records a load that a target reported.
     pub(crate) fn report(&self, now: Millis, target: &str, load: Load) {
         self.router.lock().report(now, target, load);
     }
 
-    /// Whether a target has told that work takes so long there that a silence is no failure of it.
+    /// Whether a target has reported work so slow that a missing response does not count as its failure.
     pub(crate) fn is_slow(&self, now: Millis, target: &str) -> bool {
         self.router.lock().is_slow(now, target)
     }
 
-    /// Whether calls waited at a target when it last told its load.
+    /// Whether calls were queued at a target at its last load report.
     pub(crate) fn has_queue(&self, target: &str) -> bool {
         self.router.lock().has_queue(target)
     }
 
-    /// Takes in how long a stage takes, as the instance that batches it expects.
+    /// Records the time of a stage as reported by the instance that batches for it, in milliseconds.
     pub(crate) fn stage_takes(&self, now: Millis, ms: Millis) {
         self.stage_time.lock().record(now, ms);
     }
 
-    /// Whether an instance has told of late that it batches the service.
-    pub(crate) fn has_told(&self, now: Millis) -> bool {
-        self.stage_time.lock().age(now).is_some_and(|it| it < TOLD_MS)
+    /// Whether an instance has recently reported that it batches for the service.
+    pub(crate) fn has_owner_report(&self, now: Millis) -> bool {
+        self.stage_time.lock().age(now).is_some_and(|it| it < MAX_REPORT_AGE_MS)
     }
 
-    /// How long a stage takes, in milliseconds, where it is `stated` without a queue.
+    /// Expected time of a stage in milliseconds, given the time `stated` for it without a queue.
     pub(crate) fn stage_ms(&self, now: Millis, stated: Millis) -> Millis {
         self.stage_time.lock().get(now, stated)
     }
@@ -351,12 +351,12 @@
         self.budget.lock().request(now, terms);
     }
 
-    /// Spends a second send where the budget has it.
+    /// Takes a resend from the retry budget; returns whether the budget allows it.
     pub(crate) fn spend(&self, now: Millis, terms: &Terms) -> bool {
         self.budget.lock().spend(now, terms)
     }
 
-    /// Takes back the second send that was spent last.
+    /// Returns the last resend to the retry budget.
     pub(crate) fn take_back(&self) {
         self.budget.lock().take_back();
     }
--- a/crates/holdpointd/src/ingress/releases.rs
+++ b/crates/holdpointd/src/ingress/releases.rs
@@ -1,6 +1,7 @@
-//! Gives up results that are no longer needed, so that their makers have room again.
+//! Releases results that are no longer needed, so that the targets that store them have room again.
 //!
-//! The instance that batches a service tells the makers, since it keeps account of their room.
+//! The instance that batches for a service sends the releases to the targets, since it tracks their free room.
+//! If it can't be reached, this instance sends them itself.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -17,12 +18,12 @@
     shared::IngressShared,
 };
 
-/// How long results are gathered before they are given up together.
-const GATHER: Duration = Duration::from_millis(8);
-/// How long one call may take.
-const LIMIT: Duration = Duration::from_millis(500);
+/// How long releases are collected before they are sent together.
+const BATCH_DELAY: Duration = Duration::from_millis(8);
+/// Timeout of one call to a target.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Handles of results that nobody needs any more, by service.
+/// Handles of results to release, by service.
 #[derive(Debug, Default)]
 pub(crate) struct Releases {
     handles: Mutex<HashMap<Name, Vec<String>>>,
@@ -30,7 +31,7 @@
 }
 
 impl Releases {
-    /// Gives up a result.
+    /// Queues a result for release.
     pub(crate) fn release(&self, service: &str, handle: String) {
         self.handles.lock().entry(service.to_owned()).or_default().push(handle);
         self.gathered.notify_one();
@@ -41,11 +42,11 @@
     }
 }
 
-/// Gives results up, soon after each other together, until the task is dropped.
+/// Sends queued releases in batches until the task is dropped.
 pub(crate) async fn run(shared: Arc<IngressShared>) {
     loop {
         shared.releases.gathered.notified().await;
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         flush(&shared);
     }
 }
@@ -53,12 +54,12 @@
 fn flush(shared: &Arc<IngressShared>) {
     for (service, handles) in shared.releases.take() {
         for (region, handles) in by_region(shared, handles) {
-            give_up(shared, &region, service.clone(), handles);
+            send_releases(shared, &region, service.clone(), handles);
         }
     }
 }
 
-/// Results by the region whose batcher keeps account of them.
+/// Groups results by the region whose batching instance tracks their room.
 fn by_region(shared: &IngressShared, handles: Vec<String>) -> HashMap<Name, Vec<String>> {
     let mut by_region: HashMap<Name, Vec<String>> = HashMap::new();
     for handle in handles {
@@ -68,20 +69,20 @@
     by_region
 }
 
-fn give_up(shared: &Arc<IngressShared>, region: &str, service: Name, handles: Vec<String>) {
+fn send_releases(shared: &Arc<IngressShared>, region: &str, service: Name, handles: Vec<String>) {
     let Some(address) = batcher_of(shared, region, &service) else {
         return tell_makers(shared, &service, handles);
     };
     let shared = shared.clone();
     tokio::spawn(async move {
-        let told = shared.peers.give_up(&shared, &address, &service, handles.clone());
-        if told.await.is_err() {
+        let sending = shared.peers.give_up(&shared, &address, &service, handles.clone());
+        if sending.await.is_err() {
             tell_makers(&shared, &service, handles);
         }
     });
 }
 
-/// Tells the makers of results that these are no longer needed, one call each.
+/// Asks the targets that store results to drop them, with one call to each target.
 pub(crate) fn tell_makers(shared: &Arc<IngressShared>, service: &str, handles: Vec<String>) {
     let mut by_maker: HashMap<String, Vec<String>> = HashMap::new();
     for handle in handles {
@@ -91,11 +92,11 @@
     }
     for (maker, handles) in by_maker {
         let Some(target) = shared.target_at(&maker) else { continue };
-        tokio::spawn(tell(shared.clone(), service.to_owned(), target, handles));
+        tokio::spawn(notify_maker(shared.clone(), service.to_owned(), target, handles));
     }
 }
 
-async fn tell(
+async fn notify_maker(
     shared: Arc<IngressShared>,
     service: Name,
     target: holdpoint_core::directory::TargetInstance,
@@ -104,13 +105,13 @@
     if shared.backoff_ms(&target) != 0 {
         return;
     }
-    // A result whose maker was not told goes by itself when its time is over.
+    // A result that was not released expires at its target by itself.
     let Ok(permit) = limits::ask(&shared, &target).await else { return };
     let body = wire::free_body(&handles);
     let call = OwnCall { path: wire::FREE_PATH, body, payload: Payload::Release };
-    let told = own_call(&shared, (&target, permit), call, LIMIT).await;
-    if told.is_ok_and(|it| it.0.is_success()) {
-        shared.batches.released(&service, &handles);
+    let outcome = own_call(&shared, (&target, permit), call, CALL_TIMEOUT).await;
+    if outcome.is_ok_and(|it| it.0.is_success()) {
+        shared.batches.record_released(&service, &handles);
         crate::ingress::batches::pump(&shared, &service);
     }
 }
--- a/crates/holdpointd/src/ingress/stages.rs
+++ b/crates/holdpointd/src/ingress/stages.rs
@@ -1,4 +1,7 @@
-//! Makes the results of a request's stages, in the order of its graph.
+//! Runs the stages of a request in the order of their dependency graph.
+//!
+//! A stage is split into work items, which the instance that batches the stage's service sends to its targets.
+//! The results stay at the targets that made them and are referred to by handles.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,67 +22,65 @@
         context::Context,
         held::{Held, Results},
         peers::make_anywhere,
-        piece_ask::{ChainAhead, PieceAsk, PieceResult},
+        piece_ask::{LaterStages, PieceAsk, PieceResult},
         send::left,
         spill,
     },
 };
 
-/// How often one piece is made anew.
-const REMAKES: u32 = 4;
-/// Pause before a piece is made anew that found no room.
-const ROOM_PAUSE: Duration = Duration::from_millis(120);
-/// Pause before a piece is asked for at another instance, which may not know of it yet.
-const MOVE_PAUSE: Duration = Duration::from_millis(15);
-/// Time after which a target that has begun with its inputs has fetched them: links carry the
-/// largest in a few milliseconds, the rest is the way there and the target's turn.
+/// Maximum number of retries of a stage's missing items.
+const MAX_RETRIES: u32 = 4;
+/// Delay before items are retried that no target had room for.
+const NO_ROOM_BACKOFF: Duration = Duration::from_millis(120);
+/// Delay before items are requested from another instance, which may not know yet that it batches the service.
+const MOVED_BACKOFF: Duration = Duration::from_millis(15);
+/// Time after which a target that has started a call is assumed to have fetched the call's inputs.
 pub(crate) const FETCHED: Duration = Duration::from_millis(80);
-/// How often the inputs of a stage are made anew.
-const INPUT_REMAKES: u32 = 2;
-/// Part of the streams, in a hundred, that the stages leave time enough for: the middle one, and so much of
-/// the way to the longer ones as [`FIRST_EVENT_MARGIN`] says.
-const FIRST_EVENT_PERCENT: u32 = 50;
-/// A quarter of the streams take longer than this one.
-const LONGER_FIRST_EVENT_PERCENT: u32 = 75;
-/// Part of the distance between the two that is left as a margin. The whole of it on top of the stages' own
-/// margin counted calls as late that were in time.
+/// Maximum number of times that a request's lost inputs are made again.
+const MAX_INPUT_RETRIES: u32 = 2;
+/// Percentile of the time to the first event that stages leave time for, see also [`FIRST_EVENT_MARGIN`].
+const FIRST_EVENT_PERCENTILE: u32 = 50;
+/// Percentile of the time to the first event that the margin is derived from.
+const SLOW_FIRST_EVENT_PERCENTILE: u32 = 75;
+/// Fraction of the difference between the two percentiles that is added as a margin. All of it, on top of the
+/// margins of the stages, would treat requests as late that are in time.
 const FIRST_EVENT_MARGIN: f64 = 0.5;
-/// Usual time from a model server's taking a request to its first event, until measured.
-const FIRST_EVENT_MS: Millis = 300;
-/// Usual time of a stage, until its service's configuration is known.
-const STAGE_MS: Millis = 400;
+/// Assumed time from sending a request to a model server until its first event, as long as none was measured.
+const DEFAULT_FIRST_EVENT_MS: Millis = 300;
+/// Assumed time of a stage as long as its service has no configuration.
+const DEFAULT_STAGE_MS: Millis = 400;
 
 /// Results of one stage.
 #[derive(Clone, Debug)]
-struct Made {
+struct StageOutput {
     handles: Vec<String>,
-    /// When they expire at their makers.
+    /// When the targets that made the results drop them.
     until: Instant,
 }
 
-type StageOutcome = (usize, Result<Made, NoResult>);
+type StageOutcome = (usize, Result<StageOutput, NoResult>);
 
-/// Makes all results; they are needed in `domain`. A request that is refused in its own region goes to
-/// another one that can serve it in time.
+/// Runs all stages; their final results are needed in failure domain `domain`. A request that is refused in its
+/// own region moves to another region that can serve it in time.
 pub(crate) async fn make_all(ctx: &Context, domain: &str) -> Result<Results, NoResult> {
     spill::leave_if_late(ctx).await;
-    // The domain is one of its own region.
-    let made = make_here(ctx, if ctx.is_spilled() { "" } else { domain }).await;
+    // `domain` lies in the request's own region.
+    let made = run_in_region(ctx, if ctx.is_spilled() { "" } else { domain }).await;
     let is_refused = matches!(made, Err(NoResult::Overload(_)));
     if is_refused && spill::leave_if_refused(ctx).await {
-        return make_here(ctx, "").await;
+        return run_in_region(ctx, "").await;
     }
     made
 }
 
-async fn make_here(ctx: &Context, domain: &str) -> Result<Results, NoResult> {
+async fn run_in_region(ctx: &Context, domain: &str) -> Result<Results, NoResult> {
     let graph = StageGraph::new(&ctx.route.stages, &ctx.head.pieces);
     let mut held = Held::new(ctx);
     if graph.is_empty() {
         return Ok(Results::new(Vec::new(), Vec::new(), held));
     }
     let begun = Instant::now();
-    let made = make_graph(ctx, &graph, domain, &mut held).await;
+    let made = run_graph(ctx, &graph, domain, &mut held).await;
     ctx.note_stages(begun);
     let results = made?;
     let last = graph.last().filter_map(|it| Some((it, results[it].as_ref()?)));
@@ -92,16 +93,16 @@
     Ok(Results::new(inputs, places.into_iter().collect(), held))
 }
 
-async fn make_graph(
+async fn run_graph(
     ctx: &Context,
     graph: &StageGraph,
     domain: &str,
     held: &mut Held,
-) -> Result<Vec<Option<Made>>, NoResult> {
-    let mut results: Vec<Option<Made>> = vec![None; graph.len()];
+) -> Result<Vec<Option<StageOutput>>, NoResult> {
+    let mut results: Vec<Option<StageOutput>> = vec![None; graph.len()];
     let mut is_begun: Vec<bool> = (0..graph.len()).map(|it| graph.pieces(it) == 0).collect();
     let mut running: FuturesUnordered<BoxFuture<'_, StageOutcome>> = FuturesUnordered::new();
-    let mut remakes = 0;
+    let mut retries = 0;
     loop {
         for (stage, is_begun) in is_begun.iter_mut().enumerate() {
             if *is_begun || graph.needs(stage).any(|it| results[it].is_none()) {
@@ -109,7 +110,7 @@
             }
             *is_begun = true;
             let inputs = graph.needs(stage).filter_map(|it| results[it].clone()).collect();
-            let made = make_stage(ctx, graph, stage, inputs, domain);
+            let made = run_stage(ctx, graph, stage, inputs, domain);
             running.push(Box::pin(async move { (stage, made.await) }));
         }
         let Some((stage, outcome)) = running.next().await else { return Ok(results) };
@@ -117,16 +118,16 @@
             Ok(made) => {
                 held.keep(&ctx.route.stages[stage].service, &made.handles);
                 results[stage] = Some(made);
-                for needed in graph.needs(stage).filter(|it| is_used_by_one(graph, *it)) {
+                for needed in graph.needs(stage).filter(|it| has_single_dependent(graph, *it)) {
                     held.forget(handles(&results[needed]));
                 }
                 release_used(graph, &results, held);
             }
-            Err(NoResult::InputGone) if remakes < INPUT_REMAKES => {
-                remakes += 1;
+            Err(NoResult::InputGone) if retries < MAX_INPUT_RETRIES => {
+                retries += 1;
                 is_begun[stage] = false;
                 for outside in held.confine(&ctx.within()) {
-                    forget_outside(&outside, &mut results, &mut is_begun);
+                    discard_released(&outside, &mut results, &mut is_begun);
                 }
                 let is_held =
                     |it: usize| results[it].as_ref().is_some_and(|it| held.has(&it.handles));
@@ -140,8 +141,9 @@
     }
 }
 
-/// Has the stage of a result made anew that was given up as its request is confined otherwise now.
-fn forget_outside(outside: &str, results: &mut [Option<Made>], is_begun: &mut [bool]) {
+/// Discards the output that contains `outside`, a result released since it lies outside the request's
+/// confinement, so that its stage runs again.
+fn discard_released(outside: &str, results: &mut [Option<StageOutput>], is_begun: &mut [bool]) {
     for (made, is_begun) in results.iter_mut().zip(is_begun) {
         if handles(made).iter().any(|it| it == outside) {
             *made = None;
@@ -150,18 +152,18 @@
     }
 }
 
-fn handles(made: &Option<Made>) -> &[String] {
+fn handles(made: &Option<StageOutput>) -> &[String] {
     made.as_ref().map_or(&[], |it| &it.handles)
 }
 
-/// Whether only one stage needs the results of a stage, so that they may be given up by whoever
-/// makes the pieces of that one.
-fn is_used_by_one(graph: &StageGraph, stage: usize) -> bool {
+/// Whether exactly one stage depends on the results, so that the instance that batches this stage may release
+/// them.
+fn has_single_dependent(graph: &StageGraph, stage: usize) -> bool {
     graph.after(stage).filter(|it| graph.pieces(*it) != 0).count() == 1
 }
 
-/// Gives up the results of stages that every stage after them has used.
-fn release_used(graph: &StageGraph, results: &[Option<Made>], held: &mut Held) {
+/// Releases the results of stages whose dependents have all finished.
+fn release_used(graph: &StageGraph, results: &[Option<StageOutput>], held: &mut Held) {
     for (stage, made) in results.iter().enumerate() {
         let Some(made) = made else { continue };
         let is_pending = (0..graph.len())
@@ -173,16 +175,16 @@
     }
 }
 
-async fn make_stage(
+async fn run_stage(
     ctx: &Context,
     graph: &StageGraph,
     stage: usize,
-    inputs: Vec<Made>,
+    inputs: Vec<StageOutput>,
     domain: &str,
-) -> Result<Made, NoResult> {
+) -> Result<StageOutput, NoResult> {
     let inputs_until = inputs.iter().map(|it| it.until).min();
     let inputs: Vec<String> = inputs.into_iter().flat_map(|it| it.handles).collect();
-    let near = near(ctx, graph, stage, &inputs, domain);
+    let preferred_domain = preferred_domain(ctx, graph, stage, &inputs, domain);
     let within = ctx.within();
     let source = if inputs.is_empty() {
         PieceSource::Key(ctx.head.piece_key.clone().unwrap_or_default())
@@ -193,43 +195,43 @@
     let service = &ctx.route.stages[stage].service;
     let mut handles: Vec<Option<String>> = vec![None; count as usize];
     let mut until = None;
-    for round in 0..=REMAKES {
+    for round in 0..=MAX_RETRIES {
         let missing: Vec<u32> = (0..count).filter(|it| handles[*it as usize].is_none()).collect();
-        let ask = |piece: &u32| {
-            let ask = ask(ctx, graph, stage, *piece, source.clone(), &near);
+        let to_request = |item: &u32| {
+            let request = new_request(ctx, graph, stage, *item, source.clone(), &preferred_domain);
             let inputs_for_ms = inputs_until.map(|it| left(it).as_millis() as Millis);
             let confinement = confinement(&within);
-            PieceAsk { inputs_for_ms, confinement, ..ask }
+            PieceAsk { inputs_for_ms, confinement, ..request }
         };
-        let mut asks: Vec<PieceAsk> = missing.iter().map(ask).collect();
-        if let Some(first) = asks.first_mut() {
+        let mut requests: Vec<PieceAsk> = missing.iter().map(to_request).collect();
+        if let Some(first) = requests.first_mut() {
             first.fingerprint = Some(ctx.fingerprint());
         }
-        if let (Some(first), PieceSource::Inputs(inputs)) = (asks.first_mut(), &source) {
-            first.used_up = used_up(ctx, graph, stage, inputs);
+        if let (Some(first), PieceSource::Inputs(inputs)) = (requests.first_mut(), &source) {
+            first.releasable = releasable_inputs(ctx, graph, stage, inputs);
         }
-        if let Some(first) = asks.first_mut().filter(|it| it.is_refusable) {
-            first.chain = Some(chain_ahead(ctx, graph, stage));
+        if let Some(first) = requests.first_mut().filter(|it| it.is_refusable) {
+            first.chain = Some(later_stages(ctx, graph, stage));
         }
         let region = ctx.region();
         let limit = ctx.left_to_begin();
         let made = tokio::select! {
-            it = make_anywhere(&ctx.shared, &region, service, asks, &within, limit) => it,
+            it = make_anywhere(&ctx.shared, &region, service, requests, &within, limit) => it,
             () = ctx.bounds_change(&within) => {
-                // What waits is withdrawn, and what is made is made anew within the new bounds.
+                // Waiting items are cancelled; the stage is run again within the new bounds.
                 release_all(ctx, stage, handles);
                 return Err(NoResult::InputGone);
             }
         };
-        let failure = take_in(&mut handles, &missing, made);
+        let failure = store_results(&mut handles, &missing, made);
         if handles.iter().any(Option::is_some) {
             ctx.begin_stages();
-            until.get_or_insert_with(|| Instant::now() + keep(ctx, service));
+            until.get_or_insert_with(|| Instant::now() + result_lifetime(ctx, service));
         }
         let Some(cause) = failure else { break };
         let detail = format!("id={} stage={stage} round={round} cause={cause:?}", ctx.request.id);
         emit(events::STAGE_FAILED, &ctx.shared.settings.instance, &detail);
-        let is_final = round == REMAKES
+        let is_final = round == MAX_RETRIES
             || ctx.held_for().is_some()
             || matches!(cause, NoResult::InputGone | NoResult::Late | NoResult::Overload(_));
         if is_final || ctx.left_to_begin().is_zero() {
@@ -237,46 +239,46 @@
             return Err(cause);
         }
         match cause {
-            NoResult::NoRoom | NoResult::Unreachable => tokio::time::sleep(ROOM_PAUSE).await,
-            NoResult::Moved => tokio::time::sleep(MOVE_PAUSE).await,
+            NoResult::NoRoom | NoResult::Unreachable => tokio::time::sleep(NO_ROOM_BACKOFF).await,
+            NoResult::Moved => tokio::time::sleep(MOVED_BACKOFF).await,
             NoResult::OnlyLate => ctx.accept_late(),
             _ => (),
         }
     }
     let handles = handles.into_iter().flatten().collect();
-    Ok(Made { handles, until: until.unwrap_or_else(Instant::now) })
+    Ok(StageOutput { handles, until: until.unwrap_or_else(Instant::now) })
 }
 
 /// How long a service's targets keep results.
-fn keep(ctx: &Context, service: &str) -> Duration {
+fn result_lifetime(ctx: &Context, service: &str) -> Duration {
     let configuration = ctx.shared.configuration();
     let limits = configuration.services.get(service).and_then(|it| it.batches.as_ref());
     Duration::from_millis(limits.map_or(0, |it| it.keep_ms))
 }
 
-/// Inputs of a stage that no other stage needs, with the services that keep them.
-fn used_up(
+/// Inputs of a stage that no other stage needs, with the services that store them.
+fn releasable_inputs(
     ctx: &Context,
     graph: &StageGraph,
     stage: usize,
     inputs: &[String],
 ) -> Vec<(Name, String)> {
-    // Inputs stand in the order of the stages that they come from.
-    let keepers = graph.needs(stage).flat_map(|needed| {
+    // Inputs are in the order of the stages that made them.
+    let makers_by_input = graph.needs(stage).flat_map(|needed| {
         let count = graph.pieces(needed) as usize;
         std::iter::repeat_n(needed, count)
     });
-    keepers
+    makers_by_input
         .zip(inputs)
-        .filter(|it| is_used_by_one(graph, it.0))
+        .filter(|it| has_single_dependent(graph, it.0))
         .map(|(needed, handle)| (ctx.route.stages[needed].service.clone(), handle.clone()))
         .collect()
 }
 
-/// Failure domain that a stage's pieces are best made in, and the bytes that each of them moves
-/// between failure domains otherwise: its inputs, and its result where the request's own service
-/// takes it in `domain`.
-fn near(
+/// Preferred failure domain for a stage's items, and the bytes that each of them transfers between failure
+/// domains if it runs in another one: its inputs, and its result if the request's own service reads it in
+/// `domain`.
+fn preferred_domain(
     ctx: &Context,
     graph: &StageGraph,
     stage: usize,
@@ -292,7 +294,7 @@
     bytes.into_iter().max_by_key(|it| it.1).unwrap_or_default()
 }
 
-/// Adds the bytes of results to those of the failure domains that they lie in.
+/// Adds the bytes of results to the totals of the failure domains that store them.
 fn add_places(
     ctx: &Context,
     places: &mut BTreeMap<Name, u64>,
@@ -303,16 +305,16 @@
     makers.for_each(|it| *places.entry(it.domain).or_default() += bytes_each);
 }
 
-/// Takes in results; returns why one is missing, if one is.
-fn take_in(
+/// Stores results; returns the cause of a failure if any failed, preferring a lost input.
+fn store_results(
     handles: &mut [Option<String>],
     missing: &[u32],
     made: Vec<PieceResult>,
 ) -> Option<NoResult> {
     let mut failure = None;
-    for (piece, result) in missing.iter().zip(made) {
+    for (item, result) in missing.iter().zip(made) {
         match result {
-            Ok(it) => handles[*piece as usize] = Some(it),
+            Ok(it) => handles[*item as usize] = Some(it),
             Err(it) if it == NoResult::InputGone || failure.is_none() => failure = Some(it),
             Err(_) => (),
         }
@@ -330,25 +332,25 @@
     within.as_ref().map_or_else(Confinement::default, |it| it.confinement())
 }
 
-fn ask(
+fn new_request(
     ctx: &Context,
     graph: &StageGraph,
     stage: usize,
-    piece: u32,
+    item: u32,
     source: PieceSource,
     (domain, near_bytes): &(String, u64),
 ) -> PieceAsk {
     let step = &ctx.route.stages[stage];
     let first_ms = first_event_ms(ctx);
-    let after_ms = ms_after(ctx, graph, stage) + first_ms;
-    let spent = (ctx.arrived.elapsed() + ctx.asked_before).as_millis() as i64;
+    let after_ms = later_stages_ms(ctx, graph, stage) + first_ms;
+    let spent_ms = (ctx.arrived.elapsed() + ctx.asked_before).as_millis() as i64;
     let left_ms = ctx.left_to_begin().as_millis() as Millis;
     let slack_ms = left_ms as i64 - after_ms as i64;
-    let due_in_ms = ctx.route.target_ms as i64 - after_ms as i64 - spent;
+    let due_in_ms = ctx.route.target_ms as i64 - after_ms as i64 - spent_ms;
     PieceAsk {
-        work: PieceWork { request: ctx.request.id.clone(), stage, piece, source },
+        work: PieceWork { request: ctx.request.id.clone(), stage, piece: item, source },
         route: ctx.route.name.clone(),
-        // What was admitted late stands aside for what can be in time, at every stage.
+        // Requests admitted late yield to those that can meet their objective, at every stage.
         due_in_ms: if ctx.is_late() { 0 } else { due_in_ms },
         left_ms,
         rank: ctx.rank,
@@ -356,25 +358,25 @@
         domain: domain.clone(),
         near_bytes: *near_bytes,
         deadline_in_ms: slack_ms,
-        late_due_in_ms: Some(slack_ms / (1 + stages_after(graph, stage)) as i64),
+        late_due_in_ms: Some(slack_ms / (1 + steps_after(graph, stage)) as i64),
         is_refusable: !ctx.has_begun() && !ctx.is_late(),
         inputs_for_ms: None,
-        used_up: Vec::new(),
+        releasable: Vec::new(),
         confinement: Confinement::default(),
         fingerprint: None,
         chain: None,
     }
 }
 
-/// Time from the send to the first event that is left for it, in milliseconds.
+/// Time reserved from the send to the first event, in milliseconds.
 pub(crate) fn first_event_ms(ctx: &Context) -> Millis {
-    let middle = ctx.first_event_ms(FIRST_EVENT_PERCENT).unwrap_or(FIRST_EVENT_MS);
-    let longer = ctx.first_event_ms(LONGER_FIRST_EVENT_PERCENT).unwrap_or(middle);
-    middle + (FIRST_EVENT_MARGIN * longer.saturating_sub(middle) as f64) as Millis
+    let median = ctx.first_event_ms(FIRST_EVENT_PERCENTILE).unwrap_or(DEFAULT_FIRST_EVENT_MS);
+    let slow = ctx.first_event_ms(SLOW_FIRST_EVENT_PERCENTILE).unwrap_or(median);
+    median + (FIRST_EVENT_MARGIN * slow.saturating_sub(median) as f64) as Millis
 }
 
-/// What comes after a stage that is asked for first.
-fn chain_ahead(ctx: &Context, graph: &StageGraph, stage: usize) -> ChainAhead {
+/// The stages after the first one that is requested, and their time limits.
+fn later_stages(ctx: &Context, graph: &StageGraph, stage: usize) -> LaterStages {
     let stages = graph.ahead(stage).into_iter().map(|(it, depth)| {
         let service = &ctx.route.stages[it].service;
         StageAhead {
@@ -385,46 +387,46 @@
         }
     });
     let first_ms = first_event_ms(ctx) as i64;
-    let spent = (ctx.arrived.elapsed() + ctx.asked_before).as_millis() as i64;
-    ChainAhead {
+    let spent_ms = (ctx.arrived.elapsed() + ctx.asked_before).as_millis() as i64;
+    LaterStages {
         stages: stages.collect(),
-        end_in_ms: ctx.route.target_ms as i64 - first_ms - spent,
+        end_in_ms: ctx.route.target_ms as i64 - first_ms - spent_ms,
         deadline_in_ms: ctx.left_to_begin().as_millis() as i64 - first_ms,
         accepts_late: true,
     }
 }
 
-/// Time that a stage at a service usually takes, in milliseconds.
+/// Expected time of a stage at a service, including its queue, in milliseconds.
 pub(crate) fn usual_ms(ctx: &Context, service: &str) -> Millis {
     let stated = stage_ms(ctx, service);
     ctx.shared.pools.of(ctx.shared.clock.now(), service).stage_ms(ctx.shared.clock.now(), stated)
 }
 
-/// Time that all stages of a request usually take, along the longest chain, in milliseconds.
+/// Expected time of all stages of a request along the longest chain, in milliseconds.
 pub(crate) fn usual_total_ms(ctx: &Context) -> Millis {
     let graph = StageGraph::new(&ctx.route.stages, &ctx.head.pieces);
     let total = |stage: usize| {
-        usual_ms(ctx, &ctx.route.stages[stage].service) + ms_after(ctx, &graph, stage)
+        usual_ms(ctx, &ctx.route.stages[stage].service) + later_stages_ms(ctx, &graph, stage)
     };
     (0..graph.len()).filter(|it| graph.pieces(*it) != 0).map(total).max().unwrap_or(0)
 }
 
-/// Time that the stages after a stage usually take, along the longest chain, in milliseconds.
-fn ms_after(ctx: &Context, graph: &StageGraph, stage: usize) -> Millis {
+/// Expected time of the stages that follow a stage, along the longest chain, in milliseconds.
+fn later_stages_ms(ctx: &Context, graph: &StageGraph, stage: usize) -> Millis {
     let later = graph
         .after(stage)
-        .map(|it| usual_ms(ctx, &ctx.route.stages[it].service) + ms_after(ctx, graph, it));
+        .map(|it| usual_ms(ctx, &ctx.route.stages[it].service) + later_stages_ms(ctx, graph, it));
     later.max().unwrap_or(0)
 }
 
-/// Number of steps after a stage along the longest chain, the request's own service included.
-fn stages_after(graph: &StageGraph, stage: usize) -> usize {
-    1 + graph.after(stage).map(|it| stages_after(graph, it)).max().unwrap_or(0)
+/// Number of steps that follow a stage along the longest chain, including the request's own service.
+fn steps_after(graph: &StageGraph, stage: usize) -> usize {
+    1 + graph.after(stage).map(|it| steps_after(graph, it)).max().unwrap_or(0)
 }
 
-/// Time that a stage at a service takes without a queue, in milliseconds.
+/// Time of a stage at a service without a queue, in milliseconds.
 pub(crate) fn stage_ms(ctx: &Context, service: &str) -> Millis {
     let configuration = ctx.shared.configuration();
     let limits = configuration.services.get(service).and_then(|it| it.batches.as_ref());
-    limits.map_or(STAGE_MS, |it| (1.5 * it.call_ms + 4.0 * it.piece_ms) as Millis)
+    limits.map_or(DEFAULT_STAGE_MS, |it| (1.5 * it.call_ms + 4.0 * it.piece_ms) as Millis)
 }
