--- a/crates/holdpointd/src/ingress/batches/targets.rs
+++ b/crates/holdpointd/src/ingress/batches/targets.rs
@@ -28,8 +28,9 @@
     pub(super) known: BTreeMap<TargetId, KnownTarget>,
     /// Open targets that get no calls because they are in another region.
     pub(super) far: Vec<TargetId>,
-    /// Number of targets that get calls, and of those that are suspended.
+    /// Number of targets that get calls.
     open: usize,
+    /// Number of suspended targets.
     suspended: usize,
 }
 
