--- a/crates/holdpointd/src/ingress/follow.rs
+++ b/crates/holdpointd/src/ingress/follow.rs
@@ -1,9 +1,9 @@
-//! How an instance learns what others know: most instances follow one of the few that read the
-//! store, and a reader follows another one while the store does not answer it.
+//! Replication of state between instances: most instances follow one of the few that read the store, and a
+//! reader follows another one while the store does not answer it.
 //!
-//! To follow is to ask again and again what is new; the answer comes as soon as something is, or
-//! after a short wait. It tells how long ago the store was read, so that an instance relies on no
-//! other that is cut off itself: where nobody has read of late, it reads by itself.
+//! A follower polls in a loop; the response comes as soon as there is an update, or after a short wait. It
+//! contains the age of the last read of the store: if no peer has read it recently, the follower reads it
+//! itself.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,7 +17,7 @@
     ingress::{
         domains,
         intake::{Taken, take_configuration, take_in, unpacked},
-        news::{Content, Known, Place, TargetList, Update, WAIT},
+        news::{Content, Known, MAX_WAIT, Place, TargetList, Update},
         peers::{Leaders, Sources},
         rollouts,
         shared::IngressShared,
@@ -25,85 +25,83 @@
     },
 };
 
-/// How long an answer may take beyond that.
-const LIMIT: Duration = Duration::from_millis(350);
-/// How long an answer to a relay waits for something new. What it tells is as old as that when the next
-/// one asks, and must still count as fresh there.
+/// Timeout of a response, in addition to the requested wait for an update.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(350);
+/// How long a response to a relay waits for an update: shorter than for others, as the data ages by this
+/// time before the relay's followers get it and must still count as fresh there.
 const RELAY_WAIT: Duration = Duration::from_millis(150);
-/// How often an instance that reads the store looks whether it still has to.
-const REVIEW: Duration = Duration::from_millis(250);
-/// Pause between two questions, in which news gather.
-const GATHER: Duration = Duration::from_millis(20);
-/// How long an answer may take that may hold all that is known.
-const WHOLE_LIMIT: Duration = Duration::from_millis(3000);
-/// How long after its start an instance waits for those who read the store: after a restart of all
-/// they have not read it yet either, and it would not bear all who read everything at once.
-const START_PATIENCE: Duration = Duration::from_millis(2000);
-/// How long a peer may take to send a large configuration.
-const LARGE_LIMIT: Duration = Duration::from_millis(3000);
-/// Round trip to the store from which an instance counts itself as far from it, in milliseconds: failure
-/// domains of a region are a few milliseconds apart.
+/// How often an instance that reads the store checks whether it still has to, and pause after a failed poll.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause between two polls, in which updates accumulate.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Timeout of a response that may contain a whole snapshot.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long after its start an instance waits for the readers of the store. After a restart of all instances
+/// they have not read it yet either, and reads by all instances at once would overload it.
+const START_GRACE: Duration = Duration::from_millis(2000);
+/// Timeout of a response with a large configuration.
+const LARGE_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Round trip to the store above which it counts as far away, in milliseconds: failure domains of one region
+/// are a few milliseconds apart.
 const FAR_STORE_MS: Millis = 15;
-/// How long an instance that is far from the store waits for seeds to know the peers, at most.
+/// Upper bound of the wait for seeds to know the peers, for an instance far from the store.
 const SEED_WAIT: Duration = Duration::from_millis(600);
-/// Part of that time that each instance waits, so that those without a seed do not read together.
+/// Range of the random fraction of that wait, so that instances without a seed do not read the store at once.
 const SEED_JITTER: std::ops::Range<f64> = 0.25..1.0;
-/// How long an instance waits for seeds to know the leaders, at most: they start as it does, and read the list
-/// first.
+/// Wait for seeds to know the leaders: seeds may be starting as well, and read the list of peers first.
 const LEADERS_WAIT: Duration = Duration::from_millis(1200);
-/// The same at the first start of the whole system, when they wait for all to have written their entries.
+/// The same at the first start of the system, when seeds wait for the entries of all instances.
 const FIRST_LEADERS_WAIT: Duration = Duration::from_millis(8000);
-/// Part of these times that each instance waits: without seeds, all would read the store together.
+/// Range of the random factor of these waits, so that instances without a seed do not read the store at once.
 const LEADERS_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Pause between two questions to the seeds.
-const SEED_PAUSE: Duration = Duration::from_millis(100);
-/// Most others that are asked in one round.
-const MOST_ASKED: usize = 3;
+/// Pause between two rounds of requests to the seeds.
+const SEED_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of peers asked in one round.
+const MAX_ASKED_PEERS: usize = 3;
 
-/// Follows others, or has the store read, until the task is dropped.
+/// Decides whether this instance reads the store, and follows peers otherwise, until the task is dropped.
 pub(crate) async fn run(shared: Arc<IngressShared>) {
-    let mut place = Place::default();
-    // Who reads the store is known once the peers are.
+    let mut position = Place::default();
+    // The readers are chosen among the known peers.
     let _ = shared.peers_known.subscribe().wait_for(|it| *it).await;
-    // Nobody has told anything yet; those who read the store are given time to do so.
-    let mut told = Instant::now() + START_PATIENCE;
+    // No update was received yet; the readers get time to read the store.
+    let mut last_update = Instant::now() + START_GRACE;
     loop {
         let sources = shared.peers.sources();
         let patience = sources.patience;
-        // Whoever knows no peers would count itself among the readers, with all others that do not:
-        // after a restart of all, 22 instances of a far region read the whole list of targets so, and
-        // filled the link to the store for seconds.
-        let knows_peers = shared.peers.knows_leaders() || told < Instant::now();
+        // An instance without peers would take itself for a reader. After a restart of all instances, many
+        // would, and their reads would saturate the link to the store.
+        let knows_peers = shared.peers.knows_leaders() || last_update < Instant::now();
         let is_reader = sources.is_reader && knows_peers;
         if is_reader && !*shared.is_store_silent.borrow() {
             set_reading(&shared, true, "reader");
             if let Some(it) = sources.asked.first() {
                 shared.peers.watch(&shared, it).await;
             }
-            sleep(REVIEW).await;
+            sleep(REVIEW_INTERVAL).await;
             continue;
         }
         if *shared.reading.borrow() {
-            // What was read here meanwhile is no part of what the other one counts as told.
-            place = Place::default();
+            // The position no longer describes the state here, which own reads have changed.
+            position = Place::default();
         }
-        let is_told = follow_one(&shared, &mut place, sources).await;
-        let cause = if is_told { "told" } else { "nobody-has-read" };
+        let is_updated = poll_peers(&shared, &mut position, sources).await;
+        let cause = if is_updated { "told" } else { "nobody-has-read" };
         let now = Instant::now();
-        if is_told {
-            told = told.max(now);
+        if is_updated {
+            last_update = last_update.max(now);
         }
-        let is_patient = now < told + patience && !(knows_peers && shared.peers.all().is_empty());
-        set_reading(&shared, is_reader || !(is_told || is_patient), cause);
-        sleep(if is_told && !is_reader { GATHER } else { REVIEW }).await;
+        let is_patient =
+            now < last_update + patience && !(knows_peers && shared.peers.all().is_empty());
+        set_reading(&shared, is_reader || !(is_updated || is_patient), cause);
+        sleep(if is_updated && !is_reader { BATCH_DELAY } else { REVIEW_INTERVAL }).await;
     }
 }
 
-/// Learns from a seed whom to follow; whether that came about.
+/// Learns the leaders from a seed; returns whether it succeeded.
 ///
-/// The list of 985 peers is some 200 kB and two pages in the store, by the size of its entries, and each instance
-/// would read it at its start. What one needs at first are the leaders, which are few; the others it learns from
-/// whom it follows.
+/// The leaders are few and sufficient to choose whom to follow. The other peers come from the followed instance,
+/// which spares the store a read of the whole list by each instance that starts.
 pub(crate) async fn learn_leaders(shared: &Arc<IngressShared>) -> bool {
     if is_far_from_store(shared) || shared.peers.is_seed() || shared.peers.seeds().is_empty() {
         return false;
@@ -116,17 +114,17 @@
                     return;
                 }
             }
-            sleep(SEED_PAUSE).await;
+            sleep(SEED_RETRY_DELAY).await;
         }
     };
     let wait = if shared.settings.first_start { FIRST_LEADERS_WAIT } else { LEADERS_WAIT };
     timeout(wait.mul_f64(rand::random_range(LEADERS_JITTER)), learned).await.is_ok()
 }
 
-/// Learns the leaders from one seed, if that knows them.
+/// Learns the leaders from one seed; returns whether the seed knew them.
 async fn leaders_from(shared: &Arc<IngressShared>, seed: &str) -> bool {
     let known = Known { wants_leaders: true, ..Known::configuration_only(shared, false) };
-    let Ok(update) = shared.peers.follow(shared, seed, known, WHOLE_LIMIT).await else {
+    let Ok(update) = shared.peers.follow(shared, seed, known, SNAPSHOT_TIMEOUT).await else {
         return false;
     };
     let leaders: Option<Leaders> = update.leaders.and_then(|it| unpacked(shared, &it));
@@ -136,11 +134,10 @@
     true
 }
 
-/// Learns the peers from a seed, where the store is far away; whether that came about.
+/// Learns the peers from a seed if the store is far away; returns whether it succeeded.
 ///
-/// The list of 300 peers is 40 kB, and all instances of a region want it at the same moment after a
-/// restart: more than a link of 60 Mbit/s carries in half a second, while other calls to the store wait
-/// behind it. So the seeds read it, and the others after a while of their own.
+/// After a restart, reads of the list by all instances of a region would saturate the link to the store. So
+/// seeds read it first, and other instances only after a random wait without success.
 pub(crate) async fn learn_peers(shared: &Arc<IngressShared>) -> bool {
     if !is_far_from_store(shared) || shared.peers.is_seed() || shared.peers.seeds().is_empty() {
         return false;
@@ -149,49 +146,50 @@
     let learned = async {
         loop {
             for seed in order_for(&shared.settings.instance, &seeds) {
-                if learn_from(shared, seed).await {
+                if learn_peers_from(shared, seed).await {
                     return;
                 }
             }
-            sleep(SEED_PAUSE).await;
+            sleep(SEED_RETRY_DELAY).await;
         }
     };
     let wait = SEED_WAIT.mul_f64(rand::random_range(SEED_JITTER));
-    // Seeds that are down themselves take their time to be found so.
+    // Requests to seeds that are down end only by their own timeouts.
     timeout(wait, learned).await.is_ok()
 }
 
-/// Whether the store is in another region. Within one region a long round trip is a busy machine's: taken
-/// for distance, it had a large configuration sent from peer to peer.
+/// Whether the store is in another region. Without regions, a long round trip is a sign of a busy machine, not
+/// of distance.
 fn is_far_from_store(shared: &IngressShared) -> bool {
     shared.topology.is_split() && shared.peers.store_ms().is_some_and(|it| FAR_STORE_MS < it)
 }
 
-/// Learns the peers from one seed, which knows some only once it has read them or was told.
-async fn learn_from(shared: &Arc<IngressShared>, seed: &str) -> bool {
+/// Learns the peers from one seed, which knows them once it has read them or received them.
+async fn learn_peers_from(shared: &Arc<IngressShared>, seed: &str) -> bool {
     let known = Known {
-        place: Some(Place::default().with_targets(shared, seed)),
+        position: Some(Place::default().with_targets(shared, seed)),
         peers_digest: Some(shared.instances_digest()),
         ..Known::configuration_only(shared, false)
     };
-    let answer = shared.peers.follow(shared, seed, known, WHOLE_LIMIT).await;
+    let answer = shared.peers.follow(shared, seed, known, SNAPSHOT_TIMEOUT).await;
     let Ok(update) = answer else { return false };
     take_in(shared, update);
     shared.peers.were_read()
 }
 
-/// Asks others in turn until one has read the store of late, and takes in what they tell.
-async fn follow_one(
+/// Polls peers in turn, and applies their updates, until one has recently read the store; returns whether one
+/// has.
+async fn poll_peers(
     shared: &Arc<IngressShared>,
-    place: &mut Place,
+    position: &mut Place,
     Sources { asked, is_relay, .. }: Sources,
 ) -> bool {
-    let wait = if is_relay { RELAY_WAIT } else { WAIT };
-    for address in one_round(shared, asked) {
+    let wait = if is_relay { RELAY_WAIT } else { MAX_WAIT };
+    for address in peers_to_ask(shared, asked) {
         let known = Known {
-            version: shared.configuration().version.max(place.version),
+            version: shared.configuration().version.max(position.version),
             wait_ms: wait.as_millis() as Millis,
-            place: Some(place.with_targets(shared, &address)),
+            position: Some(position.with_targets(shared, &address)),
             wants_large: is_far_from_store(shared),
             orders: Some(shared.domains.position().offset),
             era: shared.domains.position().era,
@@ -200,64 +198,69 @@
             is_relay,
             wants_leaders: false,
         };
-        let limit = if *place == Place::default() { WHOLE_LIMIT } else { wait + LIMIT };
+        let limit =
+            if *position == Place::default() { SNAPSHOT_TIMEOUT } else { wait + RESPONSE_TIMEOUT };
         let answer = shared.peers.follow(shared, &address, known, limit).await;
         let Ok(update) = answer else { continue };
-        let Update { life, revision, version, .. } = update;
+        let Update { incarnation, revision, version, .. } = update;
         let taken = take_in(shared, update);
         if shared.configuration().version < version {
             tokio::spawn(catch_up(shared.clone(), address));
         }
         match taken {
             Taken::Fresh => {
-                *place = Place { life, revision, version, ..Place::default() };
+                *position = Place { incarnation, revision, version, ..Place::default() };
                 return true;
             }
             Taken::Stale => (),
-            Taken::Unreadable => *place = Place::default(),
+            Taken::Unreadable => *position = Place::default(),
         }
     }
     false
 }
 
-/// Addresses to ask in one round: `preferred` ones first.
-fn one_round(shared: &IngressShared, mut preferred: Vec<String>) -> impl Iterator<Item = String> {
-    if preferred.len() < MOST_ASKED {
+/// Addresses of the peers to ask in one round, `preferred` ones first.
+fn peers_to_ask(
+    shared: &IngressShared,
+    mut preferred: Vec<String>,
+) -> impl Iterator<Item = String> {
+    if preferred.len() < MAX_ASKED_PEERS {
         for address in shared.peers.to_ask(&shared.topology) {
             if !preferred.contains(&address) {
                 preferred.push(address);
             }
         }
     }
-    preferred.into_iter().take(MOST_ASKED)
+    preferred.into_iter().take(MAX_ASKED_PEERS)
 }
 
-/// Finds out whether targets whose entries lapsed have left, until the task is dropped.
+/// Finds out from peers whether targets with lapsed entries have left, until the task is dropped.
 ///
-/// An instance that was cut off by itself cannot tell; one that has read the store all the while can,
-/// and without its word the targets would get requests for [`watch::LAPSE_MS`] after they have left.
+/// An instance that was cut off from the store cannot tell this itself; a peer that has read the store without
+/// a failure can. Without it, targets would get requests for [`watch::LAPSE_GRACE_MS`] after they have left.
 pub(crate) async fn settle_lapses(shared: Arc<IngressShared>) {
     loop {
         shared.lapses_found.notified().await;
         while !shared.lapses().0.is_empty() {
             ask_about_lapses(&shared).await;
-            sleep(REVIEW).await;
+            sleep(REVIEW_INTERVAL).await;
         }
     }
 }
 
-/// Asks others until one has read the store all the while, and takes in which targets it knows to be
-/// gone.
+/// Asks peers until one has read the store without a failure since before the entries lapsed, and removes the
+/// targets that it does not know.
 async fn ask_about_lapses(shared: &Arc<IngressShared>) {
     let Sources { readers, .. } = shared.peers.sources();
     let (lapsed, span_ms) = shared.lapses();
-    for address in one_round(shared, readers) {
+    for address in peers_to_ask(shared, readers) {
         let known = Known {
-            place: Some(Place::default()),
+            position: Some(Place::default()),
             peers_digest: Some(shared.instances_digest()),
             ..Known::configuration_only(shared, false)
         };
-        let Ok(update) = shared.peers.follow(shared, &address, known, LIMIT).await else {
+        let Ok(update) = shared.peers.follow(shared, &address, known, RESPONSE_TIMEOUT).await
+        else {
             continue;
         };
         if update.steady_ms.is_none_or(|it| it < span_ms) {
@@ -278,30 +281,31 @@
     }
 }
 
-/// Takes over a later configuration that a peer has: a small one from the peer, a large one from
-/// the store, or from the peer where the store does not answer. One at a time.
+/// Fetches a newer configuration that a peer has: a small one from the peer, a large one from the store, or
+/// from the peer if the store does not answer. Does nothing while another call is in progress.
 pub(crate) fn catch_up(shared: Arc<IngressShared>, address: String) -> BoxFuture<'static, ()> {
     Box::pin(async move {
         let Ok(_one) = shared.catching_up.try_lock() else { return };
         let wants_large = is_far_from_store(&shared);
-        let version = ask_configuration(&shared, &address, wants_large, LIMIT).await;
+        let version = ask_configuration(&shared, &address, wants_large, RESPONSE_TIMEOUT).await;
         if version <= shared.configuration().version {
             return;
         }
         watch::read_configuration(&shared).await;
         if shared.configuration().version < version {
-            ask_configuration(&shared, &address, true, LARGE_LIMIT).await;
+            ask_configuration(&shared, &address, true, LARGE_CONFIGURATION_TIMEOUT).await;
         }
     })
 }
 
-/// Asks others whether there is a later configuration, and takes it in; whether one that has read the
-/// store of late told that there is none, or what it is.
+/// Asks peers for a newer configuration and applies it; returns whether a peer that has recently read the store
+/// confirmed that the configuration here is now the newest.
 pub(crate) async fn confirm_configuration(shared: &Arc<IngressShared>) -> bool {
     let Sources { asked, .. } = shared.peers.sources();
-    for address in asked.into_iter().take(MOST_ASKED - 1) {
+    for address in asked.into_iter().take(MAX_ASKED_PEERS - 1) {
         let known = Known::configuration_only(shared, is_far_from_store(shared));
-        let Ok(update) = shared.peers.follow(shared, &address, known, LIMIT).await else {
+        let Ok(update) = shared.peers.follow(shared, &address, known, RESPONSE_TIMEOUT).await
+        else {
             continue;
         };
         let (is_fresh, version) = (update.age_ms.is_some(), update.version);
@@ -313,7 +317,7 @@
     false
 }
 
-/// Asks a peer for a later configuration and takes it in; returns the version that the peer has.
+/// Asks a peer for a newer configuration and applies it; returns the peer's version, 0 if it did not answer.
 async fn ask_configuration(
     shared: &Arc<IngressShared>,
     address: &str,
--- a/crates/holdpointd/src/ingress/news.rs
+++ b/crates/holdpointd/src/ingress/news.rs
@@ -1,7 +1,7 @@
-//! What instances tell each other of what they know, and the side that tells.
+//! Messages that replicate state between instances, and the responding side.
 //!
-//! An asker says how far it has followed this instance; the answer has what happened since, or all
-//! that is known where that is not kept any more or another instance was followed before.
+//! A follower sends the revision up to which it has followed this instance. The response contains the changes
+//! since, or a snapshot if they are no longer kept or the follower has followed another instance before.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,47 +28,48 @@
     shared::IngressShared,
 };
 
-/// How long an answer waits for something new.
-pub(crate) const WAIT: Duration = Duration::from_millis(400);
-/// How long an answer waits for the leaders to be known.
+/// Maximum wait of a response for an update.
+pub(crate) const MAX_WAIT: Duration = Duration::from_millis(400);
+/// Maximum wait of a response for the leaders to be known.
 const LEADERS_WAIT: Duration = Duration::from_millis(2000);
-/// News from which on they are packed; fewer are a few kilobytes. 2,900 targets that join within 4 s are
-/// some 200 bytes each as they are, to each of 24 followers: 28 Mbit/s.
-const MANY_NEWS: usize = 8;
-/// Size above which a configuration is not sent to peers that do not read packed ones, in bytes.
-const LARGE_CONFIGURATION: usize = 32 << 10;
+/// Minimum number of changes in a response that are compressed; fewer are small as they are.
+const MIN_PACKED_CHANGES: usize = 8;
+/// Size above which a configuration is not sent to peers that cannot read a packed one, unless they want a large
+/// one.
+const LARGE_CONFIGURATION_BYTES: usize = 32 << 10;
 
-/// Something that is new at an instance.
+/// A change of the replicated state of an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum News {
-    /// A target instance joined or changed.
+    /// A target joined or changed.
     Target(TargetInstance),
-    /// A target instance is gone.
+    /// A target was removed.
     TargetGone(TargetId),
-    /// A peer joined or started anew, or has left.
+    /// A peer joined or restarted; `None` if it has left.
     Peer(Name, Option<Peer>),
-    /// A resource was declared, or dropped.
+    /// A resource was declared; `None` if it was removed.
     Resource(String, Option<Bytes>),
 }
 
-/// How far an asker has followed another instance.
+/// Position up to which a follower has followed another instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Place {
-    /// Life of the other instance; 0 where none was followed.
-    pub(crate) life: u64,
-    /// How far its news were taken in.
+    /// Incarnation of the other instance; 0 if none was followed.
+    #[serde(rename = "life")]
+    pub(crate) incarnation: u64,
+    /// Revision up to which its changes were applied.
     pub(crate) revision: Revision,
-    /// Hash of the targets that the asker knows, for peers of earlier versions.
+    /// Hash of the targets that the follower knows, for peers of earlier versions.
     pub(crate) digest: u64,
-    /// Sum of their hashes, for all others.
+    /// Sum of the hashes of these targets, for all other peers.
     #[serde(default)]
     pub(crate) sum: Option<u64>,
-    /// Version of the configuration that was told of last, if not sent with it.
+    /// Version of the configuration that the other instance last reported, also if it did not send it.
     pub(crate) version: Version,
 }
 
 impl Place {
-    /// The same with the targets that this instance knows, in the form that the peer at an address reads.
+    /// The same position with the hash of the targets known here, in the form that the peer at an address reads.
     pub(crate) fn with_targets(self, shared: &IngressShared, address: &str) -> Place {
         if shared.peers.protocol_of(address) < SUMS {
             return Place { digest: shared.digest(), sum: None, ..self };
@@ -76,7 +77,7 @@
         Place { digest: 0, sum: Some(shared.targets_sum()), ..self }
     }
 
-    /// Whether an asker knows the same targets as this instance.
+    /// Whether the follower knows the same targets as this instance.
     fn has_targets_of(&self, shared: &IngressShared) -> bool {
         match self.sum {
             Some(it) => it == shared.targets_sum(),
@@ -84,61 +85,62 @@
         }
     }
 
-    /// Whether an asker knows no targets.
+    /// Whether the follower knows no targets.
     fn has_no_targets(&self) -> bool {
         let none = Directory::default();
         self.sum.map_or(self.digest == none.digest(), |it| it == none.sum())
     }
 }
 
-/// What an asker knows.
+/// Request of a follower: the state that it knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Known {
-    /// Version of the configuration that it has.
+    /// Version of its configuration.
     pub(crate) version: Version,
-    /// How long an answer may wait for something new, in milliseconds.
+    /// How long the response may wait for an update, in milliseconds.
     pub(crate) wait_ms: Millis,
-    /// Where it follows from; absent where it wants no more than a later configuration.
-    pub(crate) place: Option<Place>,
-    /// Whether it wants a large configuration too. A narrow link would not carry one to all who follow
-    /// a source, so they read it from the store where they can; those far from the store would fill the
-    /// link between the regions so, and have it, packed, from within their region.
+    /// Position to follow from; `None` if it only asks for a newer configuration.
+    #[serde(rename = "place")]
+    pub(crate) position: Option<Place>,
+    /// Whether it wants a large configuration too. Instances near the store read one from there, to spare the
+    /// link of the instance that they follow. Instances far from it get one, packed, from a peer, to spare the
+    /// link between the regions.
     pub(crate) wants_large: bool,
-    /// How far it knows the log of orders for failure domains; peers of earlier versions know none.
+    /// Offset up to which it knows the orders for failure domains; peers of earlier versions send none.
     #[serde(default)]
     pub(crate) orders: Option<Horizon>,
-    /// Era of that log; peers of earlier versions know none.
+    /// Epoch of the log of these orders; peers of earlier versions send none.
     #[serde(default)]
     pub(crate) era: Option<Era>,
-    /// How far it knows that log's orders to roll out versions; peers of earlier versions know none.
+    /// Offset up to which it knows that log's rollout orders; peers of earlier versions send none.
     #[serde(default)]
     pub(crate) rollouts: Option<Horizon>,
-    /// Hash of the peers that it knows, if it reads [`Content::Packed`]; peers of earlier versions do
-    /// not.
+    /// Hash of the peers that it knows, if it reads [`Content::Packed`]; peers of earlier versions send
+    /// none.
     #[serde(default)]
     pub(crate) peers_digest: Option<u64>,
-    /// Whether it passes on to others what it is told.
+    /// Whether it relays updates to followers of its own.
     #[serde(default)]
     pub(crate) is_relay: bool,
-    /// Whether it starts, and wants to know the leaders among the instances.
+    /// Whether it is starting and asks for the leaders among the instances.
     #[serde(default)]
     pub(crate) wants_leaders: bool,
 }
 
 impl Known {
-    /// What an asker knows who wants no more than a later configuration.
+    /// A request that only asks for a newer configuration.
     pub(crate) fn configuration_only(shared: &IngressShared, wants_large: bool) -> Known {
         let version = shared.configuration().version;
         let Position { era, offset } = shared.domains.position();
         Known {
             version,
             wait_ms: 0,
-            place: None,
+            position: None,
             wants_large,
             orders: Some(offset),
             era,
             rollouts: Some(shared.rollouts.position().offset),
-            // Without a place, no peers are told.
+            // Without a position, the response contains no peers.
             peers_digest: Some(0),
             is_relay: false,
             wants_leaders: false,
@@ -146,57 +148,57 @@
     }
 }
 
-/// What is new to an asker.
+/// Response to a follower: the state that it does not know yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Update {
-    /// Life of the instance that answers.
-    pub(crate) life: u64,
-    /// How far the asker has followed it now.
+    /// Incarnation of the responding instance.
+    #[serde(rename = "life")]
+    pub(crate) incarnation: u64,
+    /// Revision up to which the follower has followed it now.
     pub(crate) revision: Revision,
-    /// How long ago the store was read; none where that is too long ago.
+    /// Age of the last read of the store in milliseconds; `None` if it is too old.
     pub(crate) age_ms: Option<Millis>,
-    /// For how long the instance that answers has read the store by itself without a failure; none
-    /// where it does not.
+    /// For how long the responding instance itself has read the store without a failure, in milliseconds;
+    /// `None` if it does not read it.
     #[serde(default)]
     pub(crate) steady_ms: Option<Millis>,
-    /// Newest era of the store that the instance which answers has heard of; peers of earlier versions tell
-    /// none.
+    /// Newest epoch of the store known to the responding instance; peers of earlier versions send none.
     #[serde(default)]
     pub(crate) era: Option<Era>,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub(crate) version: Version,
-    /// That configuration, where it is later than the asker's and the asker wants it.
+    /// That configuration, if it is newer than the follower's and the follower wants it.
     pub(crate) configuration: Option<Bytes>,
-    /// The same, packed, to those who read packed lists.
+    /// The same, packed, for followers that read packed lists.
     #[serde(default)]
     pub(crate) packed_configuration: Option<Bytes>,
-    /// The failure domains that are evacuated, where more is known than the asker knows.
+    /// The evacuated failure domains, if more is known than the follower knows.
     #[serde(default)]
     pub(crate) evacuations: Option<Evacuations>,
-    /// The orders to roll out versions, where more is known than the asker knows.
+    /// The rollout orders, if more is known than the follower knows.
     #[serde(default)]
     pub(crate) rollouts: Option<ToldOrders>,
-    /// Whether the instance that answers knows the peers as the store has them, rather than a few that it
-    /// has met; peers of earlier versions do not tell.
+    /// Whether the responding instance knows all peers in the store rather than only some of them; peers of
+    /// earlier versions send none.
     #[serde(default)]
     pub(crate) knows_peers: Option<bool>,
-    /// What else is new, where that was asked for.
+    /// Changes or a snapshot, if the request contained a position.
     pub(crate) content: Option<Content>,
-    /// The packed [`Leaders`](crate::ingress::peers::Leaders), where they were asked for and are known; peers
-    /// of earlier versions tell none.
+    /// The packed [`Leaders`](crate::ingress::peers::Leaders), if they were requested and are known; peers of
+    /// earlier versions send none.
     #[serde(default)]
     pub(crate) leaders: Option<Bytes>,
 }
 
-/// What is new of targets and peers.
+/// Changes or snapshot of targets, peers and resources.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Content {
-    /// What happened since the asker last heard.
+    /// Changes since the follower's position.
     News(Vec<News>),
-    /// All that is known.
+    /// Snapshot for peers of earlier versions.
     All {
-        /// The [`TargetList`] as JSON, which is made once for all who ask; none where the asker's
-        /// targets are the same.
+        /// The [`TargetList`] as JSON; `None` if the follower's targets are the same, or if the list here is
+        /// stale and the follower knows some targets.
         targets: Option<Bytes>,
         /// Peers.
         peers: Vec<(Name, Peer)>,
@@ -204,52 +206,52 @@
         #[serde(default)]
         resources: Vec<(String, Bytes)>,
     },
-    /// What happened since the asker last heard, packed, for those who read it so.
+    /// Changes since the follower's position, packed, for followers that read this form.
     PackedNews(Bytes),
-    /// All that is known, for those who read it so: without what they have, and compressed.
+    /// Snapshot for followers that read packed lists, without the lists that they already have.
     Packed {
-        /// The packed [`TargetList`]; none where the asker's targets are the same.
+        /// The packed [`TargetList`]; `None` as in [`Content::All`].
         targets: Option<Bytes>,
-        /// The packed names and entries of all instances; none where the asker's peers are the same.
+        /// The packed names and entries of all instances; `None` if the follower's peers are the same.
         peers: Option<Bytes>,
         /// Resources that operators declared, by key.
         resources: Vec<(String, Bytes)>,
     },
 }
 
-/// All target instances that an instance knows. There may be thousands, and many who ask at once
-/// after a restart of all, so what they have in common is said once.
+/// All targets that an instance knows, grouped by their common properties to keep the list small: there may be
+/// thousands, and many instances request it at once after a restart.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct TargetList {
-    /// Those in the store's list.
+    /// Targets in the store's list.
     listed: Vec<TargetGroup>,
-    /// Those whose entry may have lapsed while the store was away. They may have left as well, so
-    /// whoever has heard that they are gone does not take them back.
+    /// Targets whose entry may have lapsed while the store was unavailable. They may have left as well, so
+    /// instances that have removed them do not add them again.
     lapsed: Vec<TargetId>,
-    /// Those that are cold, and for how much longer in milliseconds.
+    /// Cold targets and their remaining cold time in milliseconds.
     #[serde(default)]
     cold: Vec<(TargetId, Millis)>,
-    /// When their lives began, in milliseconds of Unix time, of those that tell it.
+    /// Start times in milliseconds of Unix time, of targets that report them.
     #[serde(default)]
     born: Vec<(TargetId, Millis)>,
 }
 
-/// Target instances that have all but their names in common.
+/// Targets that differ only in id, address and sequence.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct TargetGroup {
     service: Name,
     domain: Name,
     slots: u32,
     is_leaving: bool,
-    /// Version of their software; peers of earlier versions tell none.
+    /// Version of their software; peers of earlier versions send none.
     #[serde(default)]
     version: String,
-    /// Id, address and sequence of each.
+    /// Id, address and sequence of each target.
     members: Vec<(TargetId, String, u64)>,
 }
 
 impl TargetList {
-    /// Makes the list of a directory.
+    /// Creates the list of the targets in a directory.
     pub(crate) fn new(now: Millis, directory: &Directory) -> TargetList {
         let mut groups: BTreeMap<(&str, &str, u32, bool, &str), Vec<_>> = BTreeMap::new();
         for it in directory.listed() {
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Whether a target is in the list, or its entry may have lapsed.
+    /// Whether a target is in the list, also if its entry may have lapsed.
     pub(crate) fn knows(&self, id: &str) -> bool {
         let is_listed = |it: &TargetGroup| it.members.iter().any(|it| it.0 == id);
         self.listed.iter().any(is_listed) || self.lapsed.iter().any(|it| it == id)
@@ -300,30 +302,32 @@
     }
 }
 
-/// Answers one who follows this instance.
+/// Responds to a request of a follower.
 pub(crate) async fn answer(shared: &IngressShared, known: Known) -> Update {
-    // After a restart of all, those who ask have the answer as soon as it is known, and need not ask
-    // again and again.
-    let _ = timeout(Duration::from_millis(known.wait_ms).min(WAIT), shared.first_read()).await;
+    // After a restart of all instances, followers get the response once the list has been read, without
+    // repeated requests.
+    let _ = timeout(Duration::from_millis(known.wait_ms).min(MAX_WAIT), shared.first_read()).await;
     let mut has_news = shared.has_news.subscribe();
     if !is_behind(shared, &known) && shared.fresh_age().is_some() {
-        let wait = Duration::from_millis(known.wait_ms).min(WAIT);
-        // Where the wait is over without news, the answer tells that there are none.
+        let wait = Duration::from_millis(known.wait_ms).min(MAX_WAIT);
+        // After a timeout, the response contains no changes.
         let _ = timeout(wait, has_news.changed()).await;
     }
-    if known.place.is_some_and(|it| wants_targets(shared, &it)) {
+    if known.position.is_some_and(|it| needs_target_list(shared, &it)) {
         let bytes = shared.packed.targets(shared).len();
         let link_mbps = f64::from(own_capacity(&shared.settings).link_mbps);
-        shared.packed.turn(known.is_relay, bytes, link_mbps).await;
+        shared.packed.wait_turn(known.is_relay, bytes, link_mbps).await;
     }
-    let (news, revision) = shared.news_since(known.place.map_or(0, |it| it.revision));
+    let (changes, revision) = shared.changes_since(known.position.map_or(0, |it| it.revision));
     let is_fresh = shared.fresh_age().is_some();
-    let content = known.place.map(|place| match news.filter(|_| place.life == shared.life) {
-        Some(it) if known.peers_digest.is_some() && MANY_NEWS <= it.len() => {
-            Content::PackedNews(shared.packed.news((place.revision, revision), &it))
+    let content = known.position.map(|position| {
+        match changes.filter(|_| position.incarnation == shared.life) {
+            Some(it) if known.peers_digest.is_some() && MIN_PACKED_CHANGES <= it.len() => {
+                Content::PackedNews(shared.packed.changes((position.revision, revision), &it))
+            }
+            Some(it) => Content::News(it),
+            None => snapshot(shared, &position, known.peers_digest, is_fresh),
         }
-        Some(it) => Content::News(it),
-        None => all_known(shared, &place, known.peers_digest, is_fresh),
     });
     let version = shared.configuration().version;
     let newer = (known.version < version).then(|| shared.configuration_bytes());
@@ -333,15 +337,14 @@
     let link_mbps = own_capacity(&shared.settings).link_mbps;
     let is_sent = |it: &Bytes| known.wants_large || sends_configuration(it.len(), link_mbps);
     let packed_configuration = packed.filter(is_sent);
-    let is_small = |it: &Bytes| known.wants_large || it.len() <= LARGE_CONFIGURATION;
+    let is_small = |it: &Bytes| known.wants_large || it.len() <= LARGE_CONFIGURATION_BYTES;
     let configuration = newer.filter(|it| !packs && is_small(it));
     let age_ms = shared.fresh_age();
     let steady_ms = shared.steady_ms();
-    let evacuations = knows_less(shared, &known).then(|| shared.domains.state());
-    let rollouts =
-        knows_fewer_rollouts(shared, &known).then(|| shared.rollouts.told(shared.clock.now()));
+    let evacuations = lacks_orders(shared, &known).then(|| shared.domains.state());
+    let rollouts = lacks_rollouts(shared, &known).then(|| shared.rollouts.told(shared.clock.now()));
     Update {
-        life: shared.life,
+        incarnation: shared.life,
         revision,
         age_ms,
         steady_ms,
@@ -357,7 +360,7 @@
     }
 }
 
-/// The leaders, once the peers are known here.
+/// The packed leaders, once the peers are known here; `None` after a timeout or a failed read of the peers.
 async fn leaders(shared: &IngressShared) -> Option<Bytes> {
     let mut peers_known = shared.peers_known.subscribe();
     let known = async {
@@ -368,57 +371,58 @@
     shared.peers.were_read().then(|| shared.packed.leaders(shared))
 }
 
-/// Whether an asker gets the whole list of targets: the news that it has missed are not kept, and its
-/// targets are others.
-fn wants_targets(shared: &IngressShared, place: &Place) -> bool {
-    let is_kept = place.life == shared.life && shared.news_since(place.revision).0.is_some();
-    !is_kept && !place.has_targets_of(shared)
+/// Whether a follower needs the whole list of targets: the changes since its position are no longer kept, and
+/// its targets differ.
+fn needs_target_list(shared: &IngressShared, position: &Place) -> bool {
+    let is_kept =
+        position.incarnation == shared.life && shared.changes_since(position.revision).0.is_some();
+    !is_kept && !position.has_targets_of(shared)
 }
 
-/// All that this instance knows and an asker does not, by the hashes of what it knows.
-fn all_known(
+/// Snapshot of the state here, without the lists whose hashes equal the follower's.
+fn snapshot(
     shared: &IngressShared,
-    place: &Place,
+    position: &Place,
     peers_digest: Option<u64>,
     is_fresh: bool,
 ) -> Content {
-    // What was read too long ago helps only those who know nothing.
-    let is_wanted = is_fresh || place.has_no_targets();
-    let is_other = is_wanted && !place.has_targets_of(shared);
+    // A stale list is of use only to followers that know no targets.
+    let is_wanted = is_fresh || position.has_no_targets();
+    let needs_targets = is_wanted && !position.has_targets_of(shared);
     let resources = shared.resources();
     match peers_digest {
         None => {
-            let targets = is_other.then(|| shared.target_list());
+            let targets = needs_targets.then(|| shared.target_list());
             Content::All { targets, peers: shared.instances(), resources }
         }
         Some(digest) => {
-            let targets = is_other.then(|| shared.packed.targets(shared));
+            let targets = needs_targets.then(|| shared.packed.targets(shared));
             let peers = shared.packed.peers(shared, digest);
             Content::Packed { targets, peers, resources }
         }
     }
 }
 
-/// Whether there is something new to tell already.
+/// Whether the follower lacks any state that is known here.
 fn is_behind(shared: &IngressShared, known: &Known) -> bool {
     let is_same = |it: Place| {
-        let (news, _) = shared.news_since(it.revision);
-        it.life == shared.life && news.is_some_and(|it| it.is_empty())
+        let (changes, _) = shared.changes_since(it.revision);
+        it.incarnation == shared.life && changes.is_some_and(|it| it.is_empty())
     };
     known.version < shared.configuration().version
-        || knows_less(shared, known)
-        || !known.place.is_some_and(is_same)
+        || lacks_orders(shared, known)
+        || !known.position.is_some_and(is_same)
 }
 
-/// Whether an asker knows less of the orders for failure domains.
-fn knows_less(shared: &IngressShared, known: &Known) -> bool {
+/// Whether the follower lacks orders for failure domains or rollout orders.
+fn lacks_orders(shared: &IngressShared, known: &Known) -> bool {
     let at = |offset| Position { era: known.era, offset };
     known.orders.is_some_and(|it| shared.domains.position().is_after(at(it)))
-        || knows_fewer_rollouts(shared, known)
+        || lacks_rollouts(shared, known)
 }
 
-/// Whether an asker knows less of the orders to roll out versions.
-fn knows_fewer_rollouts(shared: &IngressShared, known: &Known) -> bool {
+/// Whether the follower lacks rollout orders.
+fn lacks_rollouts(shared: &IngressShared, known: &Known) -> bool {
     let at = |offset| Position { era: known.era, offset };
     known.rollouts.is_some_and(|it| shared.rollouts.position().is_after(at(it)))
 }
--- a/crates/holdpointd/src/ingress/shared.rs
+++ b/crates/holdpointd/src/ingress/shared.rs
@@ -1,4 +1,7 @@
-//! What the tasks of one ingress instance share.
+//! State shared by the tasks of one ingress instance.
+//!
+//! It holds the active configuration, the directory of targets, the peers and the log of changes for
+//! followers, and applies each change to the modules that depend on it.
 
 mod reads;
 
@@ -55,30 +58,28 @@
     shared::{InFlight, Lazy},
 };
 
-/// How long a read of the store counts as fresh when a peer asks for what was read.
-const FRESH: Duration = Duration::from_millis(1500);
-/// Time after its start by which an instance knows configuration and targets, also where hundreds start
-/// together.
-const START: Duration = Duration::from_millis(2000);
-/// Longest time that a peer is believed a stage to take, in milliseconds: as long as the longest time
-/// limit of a route that states none.
-const LONGEST_STAGE_MS: Millis = 60_000;
-/// Changes of targets and peers that are kept for those who follow this instance.
-const NEWS_KEPT: usize = 1024;
-
-/// Changes from one in so many of all targets on are put in force by going over all targets.
-const MANY_CHANGES: usize = 4;
-
-/// What a list of targets was made of: the position in the news, the number of lapsed entries and, if
-/// targets are cold, the second.
-pub(crate) type ListState = (Revision, usize, Millis);
-
-/// What the tasks of one ingress instance share.
+/// Age up to which a read of the list of targets counts as fresh.
+const MAX_READ_AGE: Duration = Duration::from_millis(1500);
+/// How long after the start requests wait for a configuration and targets.
+const START_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Upper bound of the stage duration that a peer may report: the maximum timeout of a route that states none.
+const MAX_STAGE_MS: Millis = 60_000;
+/// Number of changes kept in the log for followers of this instance.
+const MAX_KEPT_CHANGES: usize = 1024;
+
+/// All targets are applied anew if more than `1 / FULL_APPLY_RATIO` of them have changed.
+const FULL_APPLY_RATIO: usize = 4;
+
+/// Cache key of a serialised list of targets: the end of the change log, the number of lapsed entries and, if
+/// any target is cold, the current second.
+pub(crate) type ListKey = (Revision, usize, Millis);
+
+/// State shared by the tasks of one ingress instance.
 pub(crate) struct IngressShared {
     pub(crate) settings: IngressSettings,
     pub(crate) topology: Topology,
     pub(crate) clock: Clock,
-    begun: Instant,
+    started_at: Instant,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) connections: Connections,
     pub(crate) pools: Pools,
@@ -87,84 +88,84 @@
     pub(crate) peers: Peers,
     /// Targets by region.
     pub(crate) regions: Regions,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub(crate) domains: Domains,
-    /// What is known of requests that are confined to regions.
+    /// State of requests that are confined to regions.
     pub(crate) confinements: Confinements,
-    /// Versions that are rolled out.
+    /// Rollouts of versions.
     pub(crate) rollouts: Rollouts,
-    /// Requests that end their targets.
+    /// Quarantined requests.
     pub(crate) quarantines: Quarantines,
-    /// Limits that targets name.
+    /// Rate limits reported by targets.
     pub(crate) limits: Limits,
     /// Targets that have asked this instance to back off.
     pub(crate) backoffs: Mutex<Backoffs>,
-    /// Targets that have said in answers that they leave.
+    /// Drain notices received in responses of targets.
     pub(crate) departures: Departures,
-    /// Policies and trials that operators declared.
+    /// Policies and experiments declared by operators.
     pub(crate) experiments: Declared,
     pub(crate) in_flight: Arc<InFlight>,
-    /// Becomes true when callers' connections are to be closed.
+    /// Becomes true when callers' connections must be closed.
     pub(crate) closing: watch::Sender<bool>,
-    /// Becomes true when a planned stop is about to end and all that waits gets its final answer.
+    /// Becomes true shortly before the end of a planned stop: all pending requests get a final response.
     pub(crate) answer_now: watch::Sender<bool>,
     /// Whether a planned stop has begun.
     pub(crate) is_leaving: AtomicBool,
-    /// Times from the send of a stream to its first event, by route.
+    /// Time to the first event of a stream, by route.
     pub(crate) first_times: Lazy<Mutex<Times>>,
-    /// Patience that callers bring, by route.
+    /// Timeouts stated by callers, by route.
     pub(crate) patiences: Lazy<Mutex<Patience>>,
-    /// Sent whenever the machine has been suspended.
-    woken: watch::Sender<()>,
-    /// Eras of the store.
+    /// Notified when the machine resumes from a suspension.
+    resumed: watch::Sender<()>,
+    /// Newest known epoch of the store.
     pub(crate) eras: Arc<Eras>,
-    /// When this instance last wrote its entry, in milliseconds; 0 is never.
+    /// When this instance last wrote its own entry to the store, in milliseconds; 0 if never.
     pub(crate) entry_written: AtomicU64,
-    /// Raised whenever the store was silent, so that waiting reads begin anew.
+    /// Notified when the store did not answer: pending long polls start over.
     pub(crate) store_lost: Notify,
-    /// Whether this instance reads the store by itself, or follows another that does.
+    /// Whether this instance reads the store itself rather than following a peer.
     pub(crate) reading: watch::Sender<bool>,
-    /// Whether the store was silent when it was last asked.
+    /// Whether the last call to the store failed.
     pub(crate) is_store_silent: watch::Sender<bool>,
-    /// Held while a later configuration that a peer has is taken over.
+    /// Held while a newer configuration is fetched from a peer.
     pub(crate) catching_up: tokio::sync::Mutex<()>,
-    /// Identifies this life of the process among those of all instances.
+    /// Random id of this incarnation of the process.
     pub(crate) life: u64,
-    /// Sent whenever there is something new for those who follow this instance.
+    /// Notified when there is an update for followers of this instance.
     pub(crate) has_news: watch::Sender<()>,
-    news: Mutex<ChangeLog<News>>,
-    /// When the configuration in force was last known to be the newest.
+    changes: Mutex<ChangeLog<News>>,
+    /// When the active configuration was last confirmed to be the newest.
     pub(crate) confirmation: Confirmation,
-    /// What is kept for callers who have not read it.
+    /// Response data that callers have not read yet.
     pub(crate) unread: Unread,
-    /// Whole lists as they are sent to peers.
+    /// Compressed lists for peers.
     pub(crate) packed: Packed,
-    /// Becomes true once the peers were read from the store, or could not be read.
+    /// Becomes true once the peers have been read from the store, or the read has failed.
     pub(crate) peers_known: watch::Sender<bool>,
     configuration: ArcSwap<Configuration>,
-    /// The configuration in force as it was read, for peers.
+    /// The active configuration as it was read, for peers.
     configuration_bytes: Mutex<Bytes>,
     directory: Mutex<Directory>,
-    /// When the list of targets was last read from the store, in milliseconds; 0 is never.
+    /// When the list of targets was last read from the store, in milliseconds; 0 if never.
     targets_read: AtomicU64,
-    /// Since when this instance's reads of the list have not failed, in milliseconds; 0 where the
-    /// last one did.
+    /// Start of the current run of successful reads of the list by this instance, in milliseconds; 0 if
+    /// the last read failed.
     steady_since: AtomicU64,
-    /// Raised whenever entries were found to have lapsed.
+    /// Notified when lapsed entries are found.
     pub(crate) lapses_found: Notify,
-    /// When the list was read before entries were found to have lapsed, in milliseconds.
+    /// Time of the last read before lapsed entries were found, in milliseconds.
     lapses_since: AtomicU64,
 }
 
 impl IngressShared {
-    /// Makes the state of an instance that knows nothing yet.
+    /// Creates the state of an instance without configuration, targets and peers.
     pub(crate) fn new(settings: IngressSettings) -> IngressShared {
         let connect = Duration::from_millis(settings.timing.connect_ms);
         let eras = Arc::new(Eras::default());
         IngressShared {
             clock: Clock::new(),
             topology: Topology::new(&settings.region, settings.regions.clone()),
-            begun: Instant::now(),
+            started_at: Instant::now(),
             metrics: Arc::new(Metrics::new()),
             connections: Connections::new(connect),
             pools: Pools::new(&settings),
@@ -186,7 +187,7 @@
             is_leaving: AtomicBool::new(false),
             first_times: Lazy::default(),
             patiences: Lazy::default(),
-            woken: watch::channel(()).0,
+            resumed: watch::channel(()).0,
             eras,
             entry_written: AtomicU64::new(0),
             store_lost: Notify::new(),
@@ -195,7 +196,7 @@
             catching_up: tokio::sync::Mutex::default(),
             life: rand::random(),
             has_news: watch::channel(()).0,
-            news: Mutex::new(ChangeLog::new(NEWS_KEPT)),
+            changes: Mutex::new(ChangeLog::new(MAX_KEPT_CHANGES)),
             confirmation: Confirmation::default(),
             unread: Unread::new(settings.machine.memory_mb),
             packed: Packed::default(),
@@ -211,17 +212,17 @@
         }
     }
 
-    /// Configuration in force.
+    /// The active configuration.
     pub(crate) fn configuration(&self) -> Arc<Configuration> {
         self.configuration.load_full()
     }
 
-    /// The configuration in force as it was read.
+    /// The active configuration as it was read.
     pub(crate) fn configuration_bytes(&self) -> Bytes {
         self.configuration_bytes.lock().clone()
     }
 
-    /// Puts a configuration in force if it is later than the one in force.
+    /// Applies a configuration if it is newer than the active one; logs one that is invalid.
     pub(crate) fn offer_configuration(&self, value: &Bytes, source: &str) {
         let found = match holdpoint_adapter::configuration::parse(value) {
             Ok(it) => it,
@@ -231,14 +232,14 @@
                 return;
             }
         };
-        let in_force = self.configuration();
-        if !newer(in_force.version, found.version) {
+        let current = self.configuration();
+        if !newer(current.version, found.version) {
             return;
         }
         let detail = format!(
             "version={} before={} routes={} bytes={} source={source}",
             found.version,
-            in_force.version,
+            current.version,
             found.route_count(),
             value.len()
         );
@@ -248,11 +249,11 @@
         self.pools.configure(&self.configuration());
         self.connections.configure(&self.configuration(), self.peers.instance_count());
         self.batches.configure(self);
-        self.confinements.configured(self, &in_force, &self.configuration());
+        self.confinements.configured(self, &current, &self.configuration());
         self.has_news.send_replace(());
     }
 
-    /// Changes the directory, and takes the changes in wherever they count.
+    /// Changes the directory and applies the changes to all modules that depend on it.
     pub(crate) fn change_directory(&self, change: impl FnOnce(&mut Directory, &mut TargetChanges)) {
         let mut directory = self.directory.lock();
         let mut changes = TargetChanges::default();
@@ -267,15 +268,15 @@
             self.backoffs.lock().new_life(&it.id, it.born);
         }
         let now = self.clock.now();
-        self.hold_joined(now, &mut directory, &changes);
-        self.tell(changes.ids().map(|id| match directory.get(id) {
+        self.assume_joined_cold(now, &mut directory, &changes);
+        self.publish(changes.ids().map(|id| match directory.get(id) {
             Some(it) => {
                 let cold_left_ms = Some(directory.cold_left(now, id));
                 News::Target(TargetInstance { cold_left_ms, ..it.clone() })
             }
             None => News::TargetGone(id.clone()),
         }));
-        // Whatever is known of the lives before goes, as with targets that are gone.
+        // State of earlier incarnations is dropped, as for removed targets.
         let restarted: HashSet<&str> = changes.restarted().map(String::as_str).collect();
         for id in &restarted {
             self.pools.remove_target(id);
@@ -291,9 +292,9 @@
         self.connections.retain(is_kept);
     }
 
-    /// Takes targets to be cold that have started since the list was first read, and do not tell
-    /// whether they are.
-    fn hold_joined(&self, now: Millis, directory: &mut Directory, changes: &TargetChanges) {
+    /// Treats targets as cold that joined after the first read of the list and do not report whether
+    /// they are.
+    fn assume_joined_cold(&self, now: Millis, directory: &mut Directory, changes: &TargetChanges) {
         if self.targets_read.load(Ordering::Acquire) == 0 {
             return;
         }
@@ -309,35 +310,34 @@
         }
     }
 
-    /// Takes targets to be cold for so many milliseconds each.
+    /// Treats each target as cold for the given number of milliseconds.
     pub(crate) fn hold_cold<'a>(&self, targets: impl Iterator<Item = (&'a str, Millis)>) {
         let now = self.clock.now();
         let mut directory = self.directory.lock();
         targets.for_each(|(id, ms)| directory.hold_cold(now, id, ms));
     }
 
-    /// Puts the directory and the evacuated domains in force wherever they count.
+    /// Applies the directory and the evacuated domains to all modules that depend on them.
     pub(crate) fn apply_directory(&self) {
         self.apply(&self.directory.lock());
     }
 
-    /// Puts changes of some targets in force. What that costs grows with them, not with the directory: done
-    /// for all of 10,000 targets with each change, it took an instance with a tenth of a core a part of it
-    /// that grew with the fleet.
+    /// Applies changes of some targets. The cost grows with the number of changes, not with the size of the
+    /// directory, unless regions are configured or many targets have changed.
     fn apply_changes<'a>(&self, directory: &Directory, ids: impl Iterator<Item = &'a TargetId>) {
         let ids: BTreeSet<&str> = ids.map(String::as_str).collect();
-        if self.topology.is_split() || directory.len() < MANY_CHANGES * ids.len() {
-            // Whether a target of one region is used may depend on those of another.
+        if self.topology.is_split() || directory.len() < FULL_APPLY_RATIO * ids.len() {
+            // Whether a target of one region is used may depend on the targets of another region.
             return self.apply(directory);
         }
         let evacuations = self.domains.state();
         self.rollouts.set_targets(directory, &evacuations);
         for id in ids {
             let found = directory.get(id);
-            let is_held = found.is_some_and(|it| evacuations.is_evacuated(&it.domain));
+            let is_evacuated = found.is_some_and(|it| evacuations.is_evacuated(&it.domain));
             let cold_until = directory.cold_until(id);
-            self.pools.put_target(self.clock.now(), id, found, (is_held, cold_until));
-            self.batches.put_target(id, found, is_held);
+            self.pools.put_target(self.clock.now(), id, found, (is_evacuated, cold_until));
+            self.batches.put_target(id, found, is_evacuated);
         }
     }
 
@@ -349,25 +349,25 @@
         self.regions.set_targets(directory, &evacuations, &self.topology);
     }
 
-    /// Tells those who follow this instance what is new.
-    fn tell(&self, news: impl Iterator<Item = News>) {
-        let mut kept = self.news.lock();
-        news.for_each(|it| kept.push(it));
-        drop(kept);
+    /// Adds updates to the change log and wakes the followers of this instance.
+    fn publish(&self, changes: impl Iterator<Item = News>) {
+        let mut log = self.changes.lock();
+        changes.for_each(|it| log.push(it));
+        drop(log);
         self.has_news.send_replace(());
     }
 
-    /// What is new from a position on, and the position after it; no news where they are no longer
-    /// kept.
-    pub(crate) fn news_since(&self, from: Revision) -> (Option<Vec<News>>, Revision) {
-        let news = self.news.lock();
-        (news.since(from), news.end())
+    /// Changes since a revision, and the revision after them; `None` instead of changes that are no longer
+    /// in the log.
+    pub(crate) fn changes_since(&self, from: Revision) -> (Option<Vec<News>>, Revision) {
+        let changes = self.changes.lock();
+        (changes.since(from), changes.end())
     }
 
-    /// Takes in entries of peers; one without a peer has left. Where they are all that there are, so
-    /// have the peers that they do not name.
-    pub(crate) fn set_peers(&self, mut entries: Vec<(Name, Option<Peer>)>, is_whole: bool) {
-        if is_whole {
+    /// Applies entries of peers; `None` stands for a peer that has left. If the entries are complete, known
+    /// peers without an entry have left as well.
+    pub(crate) fn set_peers(&self, mut entries: Vec<(Name, Option<Peer>)>, is_complete: bool) {
+        if is_complete {
             let named: HashSet<&str> = entries.iter().map(|it| it.0.as_str()).collect();
             let known = self.peers.all().into_iter().map(|it| it.0);
             let left: Vec<Name> = known.filter(|it| !named.contains(it.as_str())).collect();
@@ -385,30 +385,30 @@
         self.pools.set_instances(known);
         self.connections.configure(&self.configuration(), known);
         changes.log(&self.settings.instance, known);
-        self.tell(entries.into_iter().map(|(name, peer)| News::Peer(name, peer)));
+        self.publish(entries.into_iter().map(|(name, peer)| News::Peer(name, peer)));
     }
 
-    /// Takes in how long stages take at services, and their load, as the instances that batch them tell.
-    pub(crate) fn take_stage_loads(&self, told: StageLoads) {
+    /// Applies stage durations and loads reported by the instances that batch the services' calls.
+    pub(crate) fn take_stage_loads(&self, reported: StageLoads) {
         let now = self.clock.now();
-        for (service, ms) in &told.times {
-            self.pools.of(now, service).stage_takes(now, (*ms).min(LONGEST_STAGE_MS));
+        for (service, ms) in &reported.times {
+            self.pools.of(now, service).stage_takes(now, (*ms).min(MAX_STAGE_MS));
         }
-        self.batches.told(self, now, told.loads);
+        self.batches.told(self, now, reported.loads);
     }
 
-    /// All resources in the store by key: what operators declared, and the requests that are held.
+    /// All resources in the store by key: declarations of operators and quarantined requests.
     pub(crate) fn resources(&self) -> Vec<(String, Bytes)> {
         let mut resources = self.experiments.all();
         resources.extend(self.quarantines.stored());
         resources
     }
 
-    /// Takes in a resource, or that it was dropped.
+    /// Applies a new value of a resource, or its removal; logs one that is invalid.
     pub(crate) fn set_resource(&self, key: &str, value: Option<Bytes>) {
         if let Some(is_new) = quarantine::set_stored(self, key, value.clone()) {
             if is_new {
-                self.tell(std::iter::once(News::Resource(key.to_owned(), value)));
+                self.publish(std::iter::once(News::Resource(key.to_owned(), value)));
             }
             return;
         }
@@ -417,7 +417,7 @@
             Ok(true) => {
                 let detail = format!("key={key} is_dropped={}", value.is_none());
                 emit(events::DECLARED, &self.settings.instance, &detail);
-                self.tell(std::iter::once(News::Resource(key.to_owned(), value)));
+                self.publish(std::iter::once(News::Resource(key.to_owned(), value)));
             }
             Err(it) => {
                 let detail = format!("key={key} cause=\"{it}\"");
@@ -426,7 +426,7 @@
         }
     }
 
-    /// All instances, for a peer: the peers that are known, and this one unless it is leaving.
+    /// All instances, for a peer: the known peers, and this instance unless it is draining.
     pub(crate) fn instances(&self) -> Vec<(Name, Peer)> {
         let mut instances = self.peers.all();
         if !self.is_leaving.load(Ordering::Acquire) {
@@ -445,7 +445,7 @@
         self.peers.digest().wrapping_add(own)
     }
 
-    /// This instance as a peer of others.
+    /// This instance's own entry as a peer.
     pub(crate) fn own_peer(&self) -> Peer {
         Peer {
             address: self.settings.listen.peers.clone(),
@@ -457,17 +457,17 @@
         }
     }
 
-    /// Hash of all target instances that are known, as peers of earlier versions compare it.
+    /// Hash of all known targets, as compared by peers of earlier versions.
     pub(crate) fn digest(&self) -> u64 {
         self.directory.lock().digest()
     }
 
-    /// Sum of the hashes of all target instances that are known.
+    /// Sum of the hashes of all known targets.
     pub(crate) fn targets_sum(&self) -> u64 {
         self.directory.lock().sum()
     }
 
-    /// Takes in a sign of leaving that did not come from a target's entry.
+    /// Applies a drain notice that did not come from a target's entry.
     pub(crate) fn target_leaves(&self, departure: &Departure, sign: &'static str) -> Change {
         let mut change = Change::Nothing;
         self.change_directory(|directory, changes| {
@@ -477,26 +477,26 @@
         change
     }
 
-    /// A target instance that is known.
+    /// A known target.
     pub(crate) fn target(&self, id: &str) -> Option<TargetInstance> {
         self.directory.lock().get(id).cloned()
     }
 
-    /// A target instance that is known and may get new work: it is not leaving, its failure domain is
-    /// not evacuated, and its version is not held back.
+    /// A known target that may get new work: it is not draining, its failure domain is not evacuated, and
+    /// its version is not held back by a rollout.
     pub(crate) fn open_target(&self, id: &str) -> Option<TargetInstance> {
         let found = self.directory.lock().get(id).filter(|it| !it.is_leaving).cloned();
         let found = found.filter(|it| !self.domains.is_evacuated(&it.domain));
         found.filter(|it| self.rollouts.is_open(self.clock.now(), it))
     }
 
-    /// How much longer a target gets nothing of this instance, which it has asked to back off, in milliseconds.
+    /// Remaining backoff that a target has requested from this instance, in milliseconds.
     pub(crate) fn backoff_ms(&self, target: &TargetInstance) -> Millis {
         self.backoffs.lock().left(self.clock.now(), (&target.id, &target.service))
     }
 
-    /// Whether a target has started again under its id since it was chosen: what an answer says concerns the life
-    /// before.
+    /// Whether a target has restarted under its id since it was chosen, so that a response concerns its former
+    /// incarnation.
     pub(crate) fn is_of_former_life(&self, target: &TargetInstance) -> bool {
         self.directory.lock().is_former_life(&target.id, target.born)
     }
@@ -506,84 +506,84 @@
         self.directory.lock().cold_left(self.clock.now(), id) != 0
     }
 
-    /// The target instance at an address that makes results of stages, leaving or not.
+    /// The target at an address, draining or not, whose service is configured.
     pub(crate) fn target_at(&self, address: &str) -> Option<TargetInstance> {
         let configuration = self.configuration();
-        // Another writer's entry may name the same address under a service that there is not.
+        // An entry of an unknown service may name the same address.
         let is_its = |it: &&TargetInstance| configuration.services.contains_key(&it.service);
         self.directory.lock().at(address).find(is_its).cloned()
     }
 
-    /// All target instances, leaving ones included.
+    /// All targets, draining ones included.
     pub(crate) fn targets(&self) -> Vec<TargetInstance> {
         self.directory.lock().all().cloned().collect()
     }
 
-    /// The list of target instances for peers, as JSON; made anew when something has changed.
+    /// The list of targets for peers, as JSON; cached until it changes.
     pub(crate) fn target_list(&self) -> Bytes {
         self.target_list_with_state().1
     }
 
-    /// The same, with what it was made of.
-    pub(crate) fn target_list_with_state(&self) -> (ListState, Bytes) {
+    /// The same, with its cache key.
+    pub(crate) fn target_list_with_state(&self) -> (ListKey, Bytes) {
         let directory = self.directory.lock();
         let now = self.clock.now();
-        // How much longer targets are cold is told to the second.
+        // The remaining cold time of targets is reported to the second.
         let second = directory.cold(now).next().map_or(0, |_| now / 1000);
-        let state = (self.news.lock().end(), directory.lapsed().count(), second);
-        let mut made = self.packed.plain.lock();
-        match &*made {
+        let state = (self.changes.lock().end(), directory.lapsed().count(), second);
+        let mut cached = self.packed.plain.lock();
+        match &*cached {
             Some((of, list)) if *of == state => (state, list.clone()),
             _ => {
                 let list =
                     serde_json::to_vec(&TargetList::new(now, &directory)).unwrap_or_default();
                 let list = Bytes::from(list);
-                *made = Some((state, list.clone()));
+                *cached = Some((state, list.clone()));
                 (state, list)
             }
         }
     }
 
-    /// Takes in that the machine has been suspended for so long.
+    /// Handles the end of a suspension of the machine.
     pub(crate) fn woken_after(&self, suspended: Duration) {
         let detail = format!("suspended_ms={}", suspended.as_millis());
         emit(events::WOKEN, &self.settings.instance, &detail);
-        self.woken.send_replace(());
-        // What a waiting read hears now may be as old as the suspension.
+        self.resumed.send_replace(());
+        // A pending long poll may return data as old as the suspension.
         self.store_lost.notify_waiters();
     }
 
-    /// Waits until a point in time. Timers leave a suspension out, so it looks again after one.
+    /// Waits until a point in time. Timers do not advance during a suspension, so the remaining time is computed
+    /// again after one.
     pub(crate) async fn wait_until(&self, at: Instant) {
-        let mut woken = self.woken.subscribe();
+        let mut resumed = self.resumed.subscribe();
         loop {
             let left = at.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
             }
             // The sender lives as long as the instance.
-            let _ = tokio::time::timeout(left, woken.changed()).await;
+            let _ = tokio::time::timeout(left, resumed.changed()).await;
         }
     }
 
-    /// Waits until all that has no answer yet gets its final one.
+    /// Waits until pending requests must get a final response because the stop is near.
     pub(crate) async fn stop_nears(&self) {
         let mut answer_now = self.answer_now.subscribe();
         // The sender lives as long as the instance.
         let _ = answer_now.wait_for(|it| *it).await;
     }
 
-    /// Waits until there are a configuration and targets, as long as the start of this instance is not
-    /// overdue.
+    /// Waits until a configuration and targets are known, for at most `START_TIMEOUT` after the start.
     pub(crate) async fn started(&self) {
         let mut has_news = self.has_news.subscribe();
         let is_started = async { while !self.has_started() && has_news.changed().await.is_ok() {} };
-        let left = START.saturating_sub(self.begun.elapsed());
-        // Whoever waited finds out by itself whether it may go on.
+        let left = START_TIMEOUT.saturating_sub(self.started_at.elapsed());
+        // The caller checks for itself whether it can go on.
         let _ = tokio::time::timeout(left, is_started).await;
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send callers here.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_leaving.load(Ordering::Acquire) && self.has_started()
     }
--- a/crates/holdpointd/src/ingress/shared/reads.rs
+++ b/crates/holdpointd/src/ingress/shared/reads.rs
@@ -1,13 +1,13 @@
-//! When the list of targets was read, and which entries may have lapsed meanwhile.
+//! Tracks when the list of targets was read, and the entries that may have lapsed since.
 
 use std::sync::atomic::Ordering;
 
 use holdpoint_core::{directory::TargetId, ids::Millis};
 
-use super::{FRESH, IngressShared};
+use super::{IngressShared, MAX_READ_AGE};
 
 impl IngressShared {
-    /// Counts a read of the list of targets, made so long ago.
+    /// Records a read of the list of targets that was made `age_ms` ago.
     pub(crate) fn targets_were_read(&self, age_ms: Millis) {
         let read = self.clock.now().saturating_sub(age_ms);
         if self.targets_read.fetch_max(read, Ordering::AcqRel) == 0 {
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Counts a read of the list by this instance itself, begun at a time, or one that failed.
-    pub(crate) fn note_own_read(&self, begun: Option<Millis>) {
+    /// Records when a successful read of the list by this instance began; `None` for a failed read or a pause.
+    pub(crate) fn record_own_read(&self, begun: Option<Millis>) {
         match begun {
             Some(it) if self.steady_since.load(Ordering::Acquire) == 0 => {
                 self.steady_since.store(it.max(1), Ordering::Release);
@@ -36,31 +36,31 @@
         }
     }
 
-    /// For how long this instance's reads of the list have not failed, in milliseconds.
+    /// For how long this instance has read the list without a failure, in milliseconds.
     pub(crate) fn steady_ms(&self) -> Option<Millis> {
         let since = self.steady_since.load(Ordering::Acquire);
         (since != 0).then(|| self.clock.now().saturating_sub(since))
     }
 
-    /// Takes in that entries are missing that may have lapsed since the list was last read.
-    pub(crate) fn note_lapses(&self) {
+    /// Records that entries are missing that may have lapsed since the last read of the list.
+    pub(crate) fn record_lapses(&self) {
         let read = self.targets_read.load(Ordering::Acquire);
         self.lapses_since.store(read, Ordering::Release);
         self.lapses_found.notify_one();
     }
 
-    /// Targets whose entries may have lapsed, and the span in which they did, in milliseconds.
+    /// Targets whose entries may have lapsed, and the time since the last read before that, in milliseconds.
     pub(crate) fn lapses(&self) -> (Vec<TargetId>, Millis) {
         let lapsed = self.directory.lock().lapsed().cloned().collect();
         let since = self.lapses_since.load(Ordering::Acquire);
         (lapsed, self.clock.now().saturating_sub(since))
     }
 
-    /// How long ago the list of targets was read from the store, by this instance or the one that
-    /// it follows, in milliseconds; `None` where that is too long ago to rely on it.
+    /// Age of the last read of the list of targets from the store, by this instance or the one that it
+    /// follows, in milliseconds; `None` if it is too old to rely on.
     pub(crate) fn fresh_age(&self) -> Option<Millis> {
         let read = self.targets_read.load(Ordering::Acquire);
         let age = self.clock.now().saturating_sub(read);
-        (read != 0 && age < FRESH.as_millis() as Millis).then_some(age)
+        (read != 0 && age < MAX_READ_AGE.as_millis() as Millis).then_some(age)
     }
 }
--- a/crates/holdpointd/src/ingress/store.rs
+++ b/crates/holdpointd/src/ingress/store.rs
@@ -1,4 +1,5 @@
-//! A client of the platform's store: one connection, made anew whenever a call fails.
+//! HTTP client of the platform's store: one connection, replaced after a failed call, with a timeout for each
+//! call. It tracks the epoch of the store's log in the responses to detect a return from an older copy.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,113 +21,114 @@
 /// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreError {
-    /// No answer: what was asked may have been done or not.
+    /// No response: the operation may have been carried out or not.
     Silent,
-    /// An answer that says that nothing was done.
+    /// An error response: the operation was not carried out.
     Refused(StatusCode),
-    /// The records asked for are gone.
+    /// The requested records are no longer available.
     Gone,
-    /// An answer that cannot be read.
+    /// An invalid response, or a request that cannot be built.
     BadAnswer,
-    /// The store has come back from an older copy since the call before. What was asked may have been done.
+    /// The store has returned from an older copy since the previous call. The operation may have been carried out.
     Returned,
-    /// An answer from before the store's return.
+    /// A response of an earlier epoch than the newest known one.
     Over,
 }
 
-/// The newest era of the store that this instance has heard of, from the store or from others.
+/// The newest epoch of the store that the store or a peer has reported.
 #[derive(Debug, Default)]
 pub(crate) struct Eras {
     newest: Mutex<Option<Era>>,
-    /// When it rose last.
-    risen: watch::Sender<Option<Instant>>,
+    /// Time of the last increase.
+    increases: watch::Sender<Option<Instant>>,
 }
 
 impl Eras {
-    /// The newest era.
+    /// The newest epoch.
     pub(crate) fn newest(&self) -> Option<Era> {
         *self.newest.lock()
     }
 
-    /// Takes in the era that an answer tells.
-    pub(crate) fn hear(&self, told: Option<Era>) -> Heard {
+    /// Records the epoch of a response, and returns how it compares with the newest known one.
+    pub(crate) fn hear(&self, reported: Option<Era>) -> Heard {
         let mut newest = self.newest.lock();
-        let heard = heard(*newest, told);
+        let heard = heard(*newest, reported);
         if heard == Heard::Risen || newest.is_none() {
-            *newest = told;
+            *newest = reported;
         }
         drop(newest);
         if heard == Heard::Risen {
-            self.risen.send_replace(Some(Instant::now()));
+            self.increases.send_replace(Some(Instant::now()));
         }
         heard
     }
 
-    /// Whether the store has come back so lately that it may lack what is about to be written again.
+    /// Whether the store has returned from an older copy so recently that records may still have to be written
+    /// again.
     pub(crate) fn is_settling(&self) -> bool {
-        self.risen.borrow().is_some_and(|it| it.elapsed() < Duration::from_millis(SETTLE_MS))
+        self.increases.borrow().is_some_and(|it| it.elapsed() < Duration::from_millis(SETTLE_MS))
     }
 
-    /// Sent whenever the era rises.
-    pub(crate) fn risen(&self) -> watch::Receiver<Option<Instant>> {
-        self.risen.subscribe()
+    /// Notified when the epoch increases.
+    pub(crate) fn increases(&self) -> watch::Receiver<Option<Instant>> {
+        self.increases.subscribe()
     }
 }
 
-/// One connection to the store.
+/// A client with one connection to the store.
 pub(crate) struct StoreClient {
     address: String,
     timeout: Duration,
-    connection: Option<(SendRequest<Full<Bytes>>, Guard)>,
+    connection: Option<(SendRequest<Full<Bytes>>, AbortOnDrop)>,
     eras: Arc<Eras>,
-    /// Era of the last answer.
-    era: Option<Era>,
+    /// Epoch of the last response.
+    epoch: Option<Era>,
 }
 
-/// Ends the connection's task with the connection.
-struct Guard(AbortHandle);
+/// Aborts the connection's task when dropped.
+struct AbortOnDrop(AbortHandle);
 
-impl Drop for Guard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 impl StoreClient {
-    /// Makes a client that has not connected yet.
+    /// Creates a client that connects with its first call.
     pub(crate) fn new(address: &str, timeout: Duration, eras: Arc<Eras>) -> StoreClient {
-        StoreClient { address: address.to_owned(), timeout, connection: None, eras, era: None }
+        StoreClient { address: address.to_owned(), timeout, connection: None, eras, epoch: None }
     }
 
-    /// The same client with another limit on each call, on a connection of its own.
+    /// A client with another timeout for each call, on a connection of its own.
     pub(crate) fn with_timeout(&self, timeout: Duration) -> StoreClient {
         StoreClient {
             timeout,
-            era: self.era,
+            epoch: self.epoch,
             ..StoreClient::new(&self.address, timeout, self.eras.clone())
         }
     }
 
-    /// A position in a topic, as of the last answer.
+    /// A position in a topic, in the epoch of the last response.
     pub(crate) fn position(&self, offset: u64) -> Position {
-        Position { era: self.era, offset }
+        Position { era: self.epoch, offset }
     }
 
-    /// Closes the connection; the next call makes a new one.
+    /// Closes the connection; the next call opens a new one.
     pub(crate) fn reset(&mut self) {
         self.connection = None;
     }
 
-    /// Connects anew, and tells how long that took: a round trip, as far as the network is concerned.
-    pub(crate) async fn measure(&mut self) -> Result<Duration, StoreError> {
+    /// Opens a new connection and returns the time that it took: about one round trip.
+    pub(crate) async fn measure_round_trip(&mut self) -> Result<Duration, StoreError> {
         let begun = Instant::now();
-        let made = tokio::time::timeout(self.timeout, connect(&self.address)).await;
-        let (sender, task) = made.map_err(silent)?.map_err(silent)?;
-        self.connection = Some((sender, Guard(task)));
+        let connected = tokio::time::timeout(self.timeout, connect(&self.address)).await;
+        let (sender, task) = connected.map_err(silent)?.map_err(silent)?;
+        self.connection = Some((sender, AbortOnDrop(task)));
         Ok(begun.elapsed())
     }
 
-    /// Reads the newest records of a topic and the offset at which reading goes on.
+    /// Reads the newest records of a topic, and the offset to continue from.
     pub(crate) async fn newest(
         &mut self,
         topic: &str,
@@ -139,7 +141,7 @@
             let page = parse_newest(&body).map_err(|_| StoreError::BadAnswer)?;
             let is_empty = page.records.is_empty();
             records.extend(page.records);
-            // The pages are no snapshot: what changed since the first is read again from there.
+            // The pages are no consistent snapshot: changes since the first page are read again from its end.
             let end = *end.get_or_insert(page.end);
             if !page.has_more || is_empty {
                 return Ok((records, end));
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Reads the records from an offset on; waits for one for at most `wait`.
+    /// Reads the records from an offset on; waits up to `wait` if there are none.
     pub(crate) async fn read(
         &mut self,
         topic: &str,
@@ -159,7 +161,7 @@
         parse_read(body, from).map_err(|_| StoreError::BadAnswer)
     }
 
-    /// Appends a record to a keyed topic of our own.
+    /// Appends a record to a keyed topic owned by Holdpoint.
     pub(crate) async fn append(
         &mut self,
         topic: &str,
@@ -170,7 +172,7 @@
         self.call(Method::POST, &append_path(topic), body, Duration::ZERO).await.map(drop)
     }
 
-    /// The same if the topic ends at an offset; else it is refused.
+    /// Appends a record if the topic ends at the offset `end`; the store refuses it otherwise.
     pub(crate) async fn append_at(
         &mut self,
         topic: &str,
@@ -192,13 +194,13 @@
     ) -> Result<Bytes, StoreError> {
         let timeout = self.timeout;
         let limit = wait + timeout;
-        // After a call without a whole answer the connection is of no further use.
+        // A connection is not reused after an incomplete response.
         let mut connection = self.connection.take();
         let answering = async {
             if connection.as_ref().is_none_or(|it| !it.0.is_ready()) {
-                let made = tokio::time::timeout(timeout, connect(&self.address)).await;
-                let (sender, task) = made.map_err(|_| StoreError::Silent)?.map_err(silent)?;
-                connection = Some((sender, Guard(task)));
+                let connected = tokio::time::timeout(timeout, connect(&self.address)).await;
+                let (sender, task) = connected.map_err(|_| StoreError::Silent)?.map_err(silent)?;
+                connection = Some((sender, AbortOnDrop(task)));
             }
             let (sender, _) = connection.as_mut().ok_or(StoreError::Silent)?;
             let request = request(&self.address, method, path, body)?;
@@ -206,7 +208,7 @@
         };
         let answer = tokio::time::timeout(limit, answering).await.map_err(silent)??;
         let status = answer.status();
-        self.hear(era(answer.headers()))?;
+        self.check_epoch(era(answer.headers()))?;
         let body = whole_body(answer.into_body(), timeout).await?;
         self.connection = connection;
         match status {
@@ -218,26 +220,26 @@
 }
 
 impl StoreClient {
-    /// Takes in the era of an answer; an error where nothing from before tells what the store holds now.
-    fn hear(&mut self, told: Option<Era>) -> Result<(), StoreError> {
-        if self.eras.hear(told) == Heard::Over {
+    /// Records the epoch of a response; fails if earlier reads, or this response, do not reflect the store's
+    /// current state.
+    fn check_epoch(&mut self, reported: Option<Era>) -> Result<(), StoreError> {
+        if self.eras.hear(reported) == Heard::Over {
             return Err(StoreError::Over);
         }
-        let heard = heard(self.era, told);
-        self.era = told.or(self.era);
+        let heard = heard(self.epoch, reported);
+        self.epoch = reported.or(self.epoch);
         if heard == Heard::Risen { Err(StoreError::Returned) } else { Ok(()) }
     }
 }
 
-/// Reads a body to its end. A large one takes its time on a narrow link, so the limit holds for each
-/// part of it.
+/// Reads a body to its end. The timeout holds for each frame, as a large body takes long on a slow link.
 async fn whole_body(mut body: Incoming, limit: Duration) -> Result<Bytes, StoreError> {
-    let mut whole = BytesMut::new();
+    let mut body_bytes = BytesMut::new();
     loop {
         let frame = tokio::time::timeout(limit, body.frame()).await.map_err(silent)?;
-        let Some(frame) = frame else { return Ok(whole.freeze()) };
+        let Some(frame) = frame else { return Ok(body_bytes.freeze()) };
         if let Some(part) = frame.map_err(silent)?.data_ref() {
-            whole.extend_from_slice(part);
+            body_bytes.extend_from_slice(part);
         }
     }
 }
--- a/crates/holdpointd/src/ingress/watch.rs
+++ b/crates/holdpointd/src/ingress/watch.rs
@@ -1,5 +1,5 @@
-//! Reads the store, as long as this instance does so by itself: configuration, target instances,
-//! peers. [`super::follow`] decides whether it does.
+//! Reads the configuration, targets, peers and resources from the store, as long as this instance is one
+//! of its readers; [`super::follow`] decides whether it is. After a failure, a topic is read anew as a whole.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -35,86 +35,86 @@
     },
 };
 
-/// How long a read waits for a new configuration.
+/// Long-poll wait for a new configuration.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(2500);
-/// How long a read waits for a change among the peers.
+/// Long-poll wait for a change of peers or resources.
 const PEERS_WAIT: Duration = Duration::from_millis(15_000);
-/// How long changes of peers gather between two reads: each start of an instance is one, and after a
-/// restart of all, each of hundreds would be a read by each reader.
-const PEERS_GATHER: Duration = Duration::from_millis(300);
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(250);
-/// The same of an instance that reads only since it found no other that does.
-const STANDBY_PAUSE: Duration = Duration::from_millis(1000);
-/// How often that pause is doubled at most.
-const STANDBY_DOUBLINGS: u32 = 2;
-/// Factors by which such a pause varies, so that not all ask together.
+/// Pause between two reads of peers, so that many changes, as after a restart of all instances, are read
+/// together.
+const PEERS_BATCH_DELAY: Duration = Duration::from_millis(300);
+/// Pause after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// The same for an instance that reads only because it found no reader to follow.
+const STANDBY_RETRY_DELAY: Duration = Duration::from_millis(1000);
+/// Maximum number of times that this pause is doubled.
+const MAX_STANDBY_DOUBLINGS: u32 = 2;
+/// Range of the random factor of this pause, so that instances do not retry in step.
 const JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Longest time that an instance waits before it writes its entry again: after the store's return, all that
-/// have started of late do.
-const WRITE_AGAIN: Duration = Duration::from_millis(1000);
-/// How long the store may take to take an entry. It takes them one after the other and refuses those that would
-/// wait for over 2 s. Given up after 0.6 s and written again, the entries of 985 instances that start together
-/// stood in each other's way for 12 s: 16,700 calls where one each is needed.
-const APPEND_LIMIT: Duration = Duration::from_millis(2600);
-/// How long no entry has come for when all that start together have written theirs: the store takes one in 2 ms.
-const QUIET: Duration = Duration::from_millis(400);
-/// How long that is waited for at most.
-const LONGEST_FIRST_START: Duration = Duration::from_millis(8000);
-/// How long after the store's return an entry that lapsed may take to be written anew.
-pub(crate) const LAPSE_MS: Millis = 2000;
-
-/// Records of a topic that were read at once.
-struct Read<'a> {
+/// Upper bound of the random delay before an instance writes its entry again after the store's return, so that
+/// recently started instances do not all write at once.
+const MAX_REWRITE_DELAY: Duration = Duration::from_millis(1000);
+/// Timeout of an append. It is longer than the 2 s for which the store queues an append before it refuses it:
+/// a shorter timeout would add retries to the queue.
+const APPEND_TIMEOUT: Duration = Duration::from_millis(2600);
+/// Time without a new entry after which the instances that start together count as written.
+const QUIET_PERIOD: Duration = Duration::from_millis(400);
+/// Maximum wait for these entries at the first start of the system.
+const FIRST_START_TIMEOUT: Duration = Duration::from_millis(8000);
+/// How long a target is kept after the store's return while its lapsed entry may be written again, in milliseconds.
+pub(crate) const LAPSE_GRACE_MS: Millis = 2000;
+
+/// Records of a topic from one read.
+struct RecordBatch<'a> {
     records: &'a [KeyedRecord],
     /// Offset at which reading goes on.
     next: u64,
-    /// Era of the store that they were read in.
-    era: Option<Era>,
-    /// Whether they are the newest of all keys, rather than what followed the last read.
-    is_whole: bool,
-    /// Whether the store may lack what is about to be written again, as it has come back from an older copy.
+    /// Epoch of the store in which they were read.
+    epoch: Option<Era>,
+    /// Whether they are the newest records of all keys rather than those after the last read.
+    is_snapshot: bool,
+    /// Whether the store has recently returned from an older copy and may lack records that are being written
+    /// again.
     may_lack: bool,
 }
 
-impl Read<'_> {
-    /// Whether a key that is not among them has no record.
-    fn names_all(&self) -> bool {
-        self.is_whole && !self.may_lack
+impl RecordBatch<'_> {
+    /// Whether a key that is missing here has no record.
+    fn is_complete(&self) -> bool {
+        self.is_snapshot && !self.may_lack
     }
 }
 
 /// Keeps the configuration and the evacuated failure domains up to date.
 pub(crate) async fn follow_configuration(shared: Arc<IngressShared>) {
-    let take = |read: &Read<'_>| take_orders(&shared, read);
-    follow_topic(&shared, OPERATORS_TOPIC, (CONFIGURATION_WAIT, Duration::ZERO), take).await;
+    let apply = |read: &RecordBatch<'_>| apply_orders(&shared, read);
+    follow_topic(&shared, OPERATORS_TOPIC, (CONFIGURATION_WAIT, Duration::ZERO), apply).await;
 }
 
 /// Reads the newest configuration once.
 pub(crate) async fn read_configuration(shared: &Arc<IngressShared>) {
     let begun = shared.clock.now();
-    // Without an answer, whoever asked for it goes on without.
+    // Without a response, the caller goes on with the configuration that it has.
     let mut client = client(shared);
     if let Ok((records, next)) = client.newest(OPERATORS_TOPIC).await {
         let may_lack = shared.eras.is_settling();
-        let era = client.position(next).era;
-        let read = Read { records: &records, next, era, is_whole: true, may_lack };
-        take_orders(shared, &read);
+        let epoch = client.position(next).era;
+        let read = RecordBatch { records: &records, next, epoch, is_snapshot: true, may_lack };
+        apply_orders(shared, &read);
         shared.confirmation.note(begun);
     }
 }
 
-/// Takes in what operators wrote: the failure domains that are evacuated, then the configuration, which
+/// Applies what operators wrote: rollouts and evacuated failure domains first, then the configuration, which
 /// makes an instance ready.
-fn take_orders(shared: &Arc<IngressShared>, read: &Read<'_>) {
-    let orders: Vec<Order> = read.records.iter().filter_map(order).collect();
-    let at = Position { era: read.era, offset: read.next };
-    let newer = if read.is_whole {
+fn apply_orders(shared: &Arc<IngressShared>, read: &RecordBatch<'_>) {
+    let orders: Vec<Order> = read.records.iter().filter_map(parse_order).collect();
+    let at = Position { era: read.epoch, offset: read.next };
+    let newer = if read.is_snapshot {
         Evacuations::new(at, orders)
     } else {
         shared.domains.state().followed_by(read.next, &orders)
     };
-    rollouts::take_orders(shared, read.records, at, read.is_whole);
+    rollouts::take_orders(shared, read.records, at, read.is_snapshot);
     domains::take_over(shared, newer, "store");
     for record in read.records {
         if let (CONFIGURATION_KEY, Some(value)) = (record.key.as_str(), &record.value) {
@@ -123,8 +123,8 @@
     }
 }
 
-/// The order for a failure domain that a record holds, if it is one.
-fn order(record: &KeyedRecord) -> Option<Order> {
+/// Parses a record as an order for a failure domain; `None` if it is of another kind.
+fn parse_order(record: &KeyedRecord) -> Option<Order> {
     let domain = evacuated_domain(&record.key)?.to_owned();
     Some(Order { offset: record.offset, domain, is_evacuated: record.value.is_some() })
 }
@@ -132,13 +132,13 @@
 /// Writes this instance's own entry and keeps the list of peers up to date.
 pub(crate) async fn follow_peers(shared: Arc<IngressShared>) {
     let mut client = client(&shared);
-    if append_entry(&shared, &mut client.with_timeout(APPEND_LIMIT)).await.is_err() {
-        // Its seeds tell the others without it; they hear of this instance once the store takes its entry.
-        tokio::spawn(append_until_taken(shared.clone()));
+    if append_entry(&shared, &mut client.with_timeout(APPEND_TIMEOUT)).await.is_err() {
+        // Seeds report the peers without it; peers learn of this instance once the store accepts its entry.
+        tokio::spawn(append_with_retries(shared.clone()));
     }
     let has_learned = follow::learn_leaders(&shared).await || follow::learn_peers(&shared).await;
     if !has_learned && let Ok((records, next)) = client.newest(INSTANCES_TOPIC).await {
-        take_peers(&shared, &records, true);
+        apply_peers(&shared, &records, true);
         if shared.settings.first_start && shared.peers.is_seed() {
             read_until_quiet(&shared, &mut client, next).await;
         }
@@ -146,46 +146,45 @@
     }
     drop(client);
     shared.peers_known.send_replace(true);
-    let take = |read: &Read<'_>| {
-        take_peers(&shared, read.records, read.names_all());
-        if read.is_whole {
+    let apply = |read: &RecordBatch<'_>| {
+        apply_peers(&shared, read.records, read.is_complete());
+        if read.is_snapshot {
             shared.peers.note_read();
         }
     };
-    follow_topic(&shared, INSTANCES_TOPIC, (PEERS_WAIT, PEERS_GATHER), take).await;
+    follow_topic(&shared, INSTANCES_TOPIC, (PEERS_WAIT, PEERS_BATCH_DELAY), apply).await;
 }
 
-/// Reads the entries of those who start together with this instance, until no more come. Asked for the leaders
-/// before, three seeds told 982 instances of none but themselves; nobody had read the store, and all did so by
-/// themselves, with 44,000 calls in 12 s.
+/// Reads the entries of instances that start together with this seed, until no more arrive. A seed that reported
+/// the leaders earlier would report few peers, and the other instances would all read the store themselves.
 async fn read_until_quiet(shared: &IngressShared, client: &mut StoreClient, mut next: u64) {
-    let until = Instant::now() + LONGEST_FIRST_START;
+    let until = Instant::now() + FIRST_START_TIMEOUT;
     while Instant::now() < until {
-        sleep(PEERS_GATHER).await;
-        let Ok(page) = client.read(INSTANCES_TOPIC, next, QUIET).await else { return };
+        sleep(PEERS_BATCH_DELAY).await;
+        let Ok(page) = client.read(INSTANCES_TOPIC, next, QUIET_PERIOD).await else { return };
         if page.records.is_empty() {
             return;
         }
         next = page.next;
-        take_peers(shared, &page.records, false);
+        apply_peers(shared, &page.records, false);
     }
 }
 
-/// Writes this instance's own entry once the store takes it.
-async fn append_until_taken(shared: Arc<IngressShared>) {
-    let mut client = client(&shared).with_timeout(APPEND_LIMIT);
+/// Writes this instance's own entry, with retries until the store accepts it.
+async fn append_with_retries(shared: Arc<IngressShared>) {
+    let mut client = client(&shared).with_timeout(APPEND_TIMEOUT);
     let mut failures = 0;
     while append_entry(&shared, &mut client).await.is_err() {
-        sleep(pause(&shared, failures)).await;
+        sleep(retry_delay(&shared, failures)).await;
         failures += 1;
     }
 }
 
-/// Writes this instance's own entry, which tells how far away the store is.
+/// Writes this instance's own entry, which contains its round trip to the store.
 async fn append_entry(shared: &IngressShared, client: &mut StoreClient) -> Result<(), StoreError> {
-    // Measured once: an entry that says the same is no news to anybody.
+    // Measured once, so that the entry stays the same when it is written again.
     if shared.peers.store_ms().is_none() {
-        let trip = client.measure().await?;
+        let trip = client.measure_round_trip().await?;
         shared.peers.note_store_trip(whole_millis(trip));
     }
     let entry = shared.own_peer().entry();
@@ -195,52 +194,52 @@
     Ok(())
 }
 
-/// Writes again what this instance has written and the store may have lost, whenever it comes back from an
-/// older copy, until the task is dropped.
+/// Writes records of this instance again that the store may have lost, whenever it returns from an older
+/// copy, until the task is dropped.
 pub(crate) async fn write_again(shared: Arc<IngressShared>) {
-    let mut risen = shared.eras.risen();
+    let mut increases = shared.eras.increases();
     // The sender lives as long as the instance.
-    while risen.changed().await.is_ok() {
+    while increases.changed().await.is_ok() {
         let detail = format!("era={}", shared.eras.newest().map_or(0, |it| it.0));
         emit(events::STORE_RETURNED, &shared.settings.instance, &detail);
         rollouts::store_returned(&shared);
         quarantine::store_returned(&shared);
         let written = shared.entry_written.load(Ordering::Acquire);
         if shared.clock.now() < written + LOST_TAIL_MS && !shared.peers.is_leaving() {
-            sleep(WRITE_AGAIN.mul_f64(rand::random())).await;
-            append_until_taken(shared.clone()).await;
+            sleep(MAX_REWRITE_DELAY.mul_f64(rand::random())).await;
+            append_with_retries(shared.clone()).await;
         }
     }
 }
 
-/// Takes in entries of peers; where they are all that there are, the others have left.
-fn take_peers(shared: &IngressShared, records: &[KeyedRecord], is_whole: bool) {
+/// Applies entries of peers; if they are complete, known peers without an entry have left.
+fn apply_peers(shared: &IngressShared, records: &[KeyedRecord], is_complete: bool) {
     let entries =
         records.iter().map(|it| (it.key.clone(), it.value.as_deref().and_then(Peer::parse)));
-    shared.set_peers(entries.collect(), is_whole);
+    shared.set_peers(entries.collect(), is_complete);
 }
 
-/// Keeps the resources up to date: policies and trials that operators declare, requests that are held.
+/// Keeps the resources up to date: policies and experiments declared by operators, and quarantined requests.
 pub(crate) async fn follow_resources(shared: Arc<IngressShared>) {
-    let take = |read: &Read<'_>| {
-        if read.names_all() {
+    let apply = |read: &RecordBatch<'_>| {
+        if read.is_complete() {
             let is_named = |key: &str| read.records.iter().any(|it| it.key == key);
             let known = shared.experiments.all().into_iter();
             known.filter(|it| !is_named(&it.0)).for_each(|it| shared.set_resource(&it.0, None));
         }
         read.records.iter().for_each(|it| shared.set_resource(&it.key, it.value.clone()));
     };
-    follow_topic(&shared, RESOURCES_TOPIC, (PEERS_WAIT, PEERS_GATHER), take).await;
+    follow_topic(&shared, RESOURCES_TOPIC, (PEERS_WAIT, PEERS_BATCH_DELAY), apply).await;
 }
 
-/// Drops this instance's own entry.
+/// Removes this instance's own entry.
 pub(crate) async fn leave_peers(shared: &IngressShared) {
     let mut client = client(shared);
-    // An entry that stays is found to be silent by whoever asks there.
+    // If the removal fails, peers find out by their calls that the instance does not answer.
     let _ = client.append(INSTANCES_TOPIC, &shared.settings.instance, &[]).await;
 }
 
-/// Keeps the list of target instances up to date.
+/// Keeps the list of targets up to date.
 pub(crate) async fn follow_targets(shared: Arc<IngressShared>) {
     let mut client = client(&shared);
     let mut reading = shared.reading.subscribe();
@@ -248,63 +247,63 @@
     let mut lapse = Lapse::default();
     let mut failures = 0;
     loop {
-        if has_paused(&mut reading) {
+        if is_interrupted(&mut reading) {
             (offset, lapse, failures) = (None, Lapse::default(), 0);
             client.reset();
-            shared.note_own_read(None);
-            raised(&mut reading).await;
+            shared.record_own_read(None);
+            wait_until_reading(&mut reading).await;
         }
         let begun = shared.clock.now();
         match read_targets(&shared, &mut client, offset, &lapse).await {
             Ok(next) => {
                 offset = next;
                 shared.targets_were_read(0);
-                shared.note_own_read(Some(begun));
-                note_store(&shared, None);
+                shared.record_own_read(Some(begun));
+                record_store_result(&shared, None);
                 failures = 0;
                 lapse.store_answered(&shared);
                 sleep(Duration::from_millis(shared.settings.store.poll_ms)).await;
             }
             Err(StoreError::Returned) => {
-                // Targets whose entries it lacks write them again.
-                lapse.is_away = true;
+                // Targets whose entries the store has lost write them again.
+                lapse.was_unavailable = true;
                 offset = None;
             }
             Err(it) => {
-                note_store(&shared, Some(it));
-                shared.note_own_read(None);
-                lapse.is_away |= it != StoreError::Gone;
-                // What happened meanwhile is history: read in its order, it would bring back for a
-                // moment what others have told to be gone.
+                record_store_result(&shared, Some(it));
+                shared.record_own_read(None);
+                lapse.was_unavailable |= it != StoreError::Gone;
+                // A read from the old offset would replay the changes since, and bring back for a moment
+                // targets that peers have already reported as removed.
                 offset = None;
                 shared.store_lost.notify_waiters();
-                sleep(pause(&shared, failures)).await;
+                sleep(retry_delay(&shared, failures)).await;
                 failures += 1;
             }
         }
     }
 }
 
-/// Whether entries that are gone may have lapsed while the store was away.
+/// Whether missing entries may have lapsed while the store was unavailable.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lapse {
-    is_away: bool,
-    /// Until when entries may take to come back; 0 where none lapsed.
+    was_unavailable: bool,
+    /// Until when targets with missing entries are kept, in milliseconds; 0 if no entry may have lapsed.
     until: Millis,
 }
 
 impl Lapse {
     fn store_answered(&mut self, shared: &IngressShared) {
         let now = shared.clock.now();
-        if std::mem::take(&mut self.is_away) {
-            self.until = now + LAPSE_MS;
+        if std::mem::take(&mut self.was_unavailable) {
+            self.until = now + LAPSE_GRACE_MS;
         } else if self.until <= now {
             self.until = 0;
         }
     }
 }
 
-fn note_store(shared: &IngressShared, failure: Option<StoreError>) {
+fn record_store_result(shared: &IngressShared, failure: Option<StoreError>) {
     let was_silent = shared.is_store_silent.send_replace(failure.is_some());
     match failure {
         Some(it) if !was_silent => {
@@ -315,48 +314,47 @@
     }
 }
 
-/// Pause after so many calls that failed in a row and one more. Readers notice the store's return for
-/// all, so the others, who read by themselves only since no reader was served, ask less and less.
-fn pause(shared: &IngressShared, failures: u32) -> Duration {
+/// Pause after a failed call that followed `failures` other failed ones. Instances that are not readers back off
+/// exponentially, as readers notice the store's return for all.
+fn retry_delay(shared: &IngressShared, failures: u32) -> Duration {
     if shared.peers.sources().is_reader {
-        return PAUSE;
+        return RETRY_DELAY;
     }
     let jitter = rand::random_range(JITTER);
-    (STANDBY_PAUSE * (1 << failures.min(STANDBY_DOUBLINGS))).mul_f64(jitter)
+    (STANDBY_RETRY_DELAY * (1 << failures.min(MAX_STANDBY_DOUBLINGS))).mul_f64(jitter)
 }
 
-/// Waits after a read of a topic that failed: for a pause, and until the list of targets can be read
-/// again. One topic is enough to notice the store's return: 295 instances made 5,972 calls in place of
-/// 13,191 in 48 s with an outage of 8 s, counted at the store, the doubled pause included.
-async fn store_answers(shared: &IngressShared) {
+/// Waits after a failed read of a topic: for a pause, and until the list of targets can be read again. Only the
+/// reads of that list probe the store during an outage, which spares it the calls for the other topics.
+async fn wait_for_store(shared: &IngressShared) {
     let mut silent = shared.is_store_silent.subscribe();
-    sleep(PAUSE).await;
+    sleep(RETRY_DELAY).await;
     // The sender lives as long as the instance.
     let _ = silent.wait_for(|it| !*it).await;
 }
 
-/// Follows a topic whose records rarely change, for good: a read waits for a record for the first of two
-/// times, and in the second one records gather before the next read.
+/// Follows a topic whose records rarely change, until the task is dropped. A read waits for a record for `wait`;
+/// before the next read, a pause of `batch_delay` lets records accumulate.
 async fn follow_topic(
     shared: &Arc<IngressShared>,
     topic: &str,
-    (wait, gather): (Duration, Duration),
-    take: impl Fn(&Read<'_>),
+    (wait, batch_delay): (Duration, Duration),
+    apply: impl Fn(&RecordBatch<'_>),
 ) {
     let mut client = client(shared);
     let mut reading = shared.reading.subscribe();
     let mut offset: Option<u64> = None;
-    let mut is_lacking = false;
+    let mut is_incomplete = false;
     loop {
-        if has_paused(&mut reading) {
+        if is_interrupted(&mut reading) {
             offset = None;
             client.reset();
-            raised(&mut reading).await;
+            wait_until_reading(&mut reading).await;
         }
-        if is_lacking && !shared.eras.is_settling() {
-            (offset, is_lacking) = (None, false);
+        if is_incomplete && !shared.eras.is_settling() {
+            (offset, is_incomplete) = (None, false);
         }
-        let wait = if is_lacking { wait.min(PAUSE) } else { wait };
+        let wait = if is_incomplete { wait.min(RETRY_DELAY) } else { wait };
         let read = async {
             match offset {
                 None => client.newest(topic).await,
@@ -366,45 +364,45 @@
         let outcome = tokio::select! {
             it = read => it,
             () = shared.store_lost.notified(), if offset.is_some() => Err(StoreError::Silent),
-            () = lowered(&mut reading) => continue,
+            () = wait_until_paused(&mut reading) => continue,
         };
         match outcome {
             Ok((records, next)) => {
-                let is_whole = offset.is_none();
-                let may_lack = is_whole && shared.eras.is_settling();
-                is_lacking |= may_lack;
-                let era = client.position(next).era;
-                take(&Read { records: &records, next, era, is_whole, may_lack });
+                let is_snapshot = offset.is_none();
+                let may_lack = is_snapshot && shared.eras.is_settling();
+                is_incomplete |= may_lack;
+                let epoch = client.position(next).era;
+                apply(&RecordBatch { records: &records, next, epoch, is_snapshot, may_lack });
                 offset = Some(next);
-                sleep(gather).await;
+                sleep(batch_delay).await;
             }
             Err(StoreError::Returned) => offset = None,
             Err(_) => {
                 client.reset();
                 offset = None;
                 tokio::select! {
-                    () = store_answers(shared) => (),
-                    () = lowered(&mut reading) => (),
+                    () = wait_for_store(shared) => (),
+                    () = wait_until_paused(&mut reading) => (),
                 }
             }
         }
     }
 }
 
-/// Whether this instance does not read the store, or has not for a moment: what it was told by others
-/// meanwhile may be older than what it had read, so it has to read everything anew.
-fn has_paused(reading: &mut watch::Receiver<bool>) -> bool {
+/// Whether this instance does not read the store, or has paused reading it since the last call. Updates from
+/// peers during a pause may be older than what it had read, so everything has to be read anew.
+fn is_interrupted(reading: &mut watch::Receiver<bool>) -> bool {
     // The sender lives as long as the instance.
     let has_changed = reading.has_changed().unwrap_or(false);
     !*reading.borrow_and_update() || has_changed
 }
 
-async fn raised(reading: &mut watch::Receiver<bool>) {
+async fn wait_until_reading(reading: &mut watch::Receiver<bool>) {
     // The sender lives as long as the instance.
     let _ = reading.wait_for(|it| *it).await;
 }
 
-async fn lowered(reading: &mut watch::Receiver<bool>) {
+async fn wait_until_paused(reading: &mut watch::Receiver<bool>) {
     let _ = reading.wait_for(|it| !*it).await;
 }
 
@@ -420,7 +418,7 @@
         let entries: Vec<_> = records.iter().filter_map(|it| read_entry(shared, it)).collect();
         shared.change_directory(|directory, changes| {
             for id in directory.unnamed(&entries) {
-                take_gone(shared, directory, changes, id, lapse);
+                apply_removal(shared, directory, changes, id, lapse);
             }
             entries.into_iter().for_each(|it| changes.put(directory, now, it, "store"));
             expire(shared, directory, changes);
@@ -429,13 +427,13 @@
     };
     let page = client.read(TARGETS_TOPIC, from, Duration::ZERO).await?;
     shared.change_directory(|directory, changes| {
-        page.records.iter().for_each(|it| take_target(shared, directory, changes, it, lapse));
+        page.records.iter().for_each(|it| apply_target(shared, directory, changes, it, lapse));
         expire(shared, directory, changes);
     });
     Ok(Some(page.next))
 }
 
-/// Reads the entry of a target; one that cannot be read names none.
+/// Parses the entry of a target; logs one that is invalid and treats it as missing.
 fn read_entry(shared: &IngressShared, record: &KeyedRecord) -> Option<TargetInstance> {
     let read = instances::parse(record);
     let note = |it: &BadBody| {
@@ -445,8 +443,8 @@
     read.inspect_err(note).ok().flatten()
 }
 
-/// Takes in one record of the list.
-fn take_target(
+/// Applies one record of the list.
+fn apply_target(
     shared: &IngressShared,
     directory: &mut Directory,
     changes: &mut TargetChanges,
@@ -455,11 +453,11 @@
 ) {
     match read_entry(shared, record) {
         Some(entry) => changes.put(directory, shared.clock.now(), entry, "store"),
-        None => take_gone(shared, directory, changes, record.key.clone(), lapse),
+        None => apply_removal(shared, directory, changes, record.key.clone(), lapse),
     }
 }
 
-fn take_gone(
+fn apply_removal(
     shared: &IngressShared,
     directory: &mut Directory,
     changes: &mut TargetChanges,
@@ -467,12 +465,12 @@
     lapse: &Lapse,
 ) {
     let now = shared.clock.now();
-    let until = if lapse.is_away { now + LAPSE_MS } else { lapse.until };
+    let until = if lapse.was_unavailable { now + LAPSE_GRACE_MS } else { lapse.until };
     if until <= now {
         return changes.remove(directory, now, id, "gone");
     }
     if directory.lapsed().next().is_none() {
-        shared.note_lapses();
+        shared.record_lapses();
     }
     let change = directory.lapse(&id, until);
     let detail = format!("target={id} kept_ms={} change={change:?}", until - now);
@@ -480,7 +478,7 @@
     changes.note(id, change, "lapsed");
 }
 
-/// Removes the targets whose entries lapsed and did not come back.
+/// Removes targets whose lapsed entries were not written again in time.
 fn expire(shared: &IngressShared, directory: &mut Directory, changes: &mut TargetChanges) {
     for id in directory.expire(shared.clock.now()) {
         changes.note(id, Change::Leaving, "lapsed");
