--- a/crates/holdpointd/src/ingress/news.rs
+++ b/crates/holdpointd/src/ingress/news.rs
@@ -360,7 +360,7 @@
     }
 }
 
-/// The packed leaders, once the peers are known here; `None` after a timeout or a failed read of the peers.
+/// The packed leaders, once the peers are known here; `None` after a timeout or if the peers were not read.
 async fn leaders(shared: &IngressShared) -> Option<Bytes> {
     let mut peers_known = shared.peers_known.subscribe();
     let known = async {
@@ -403,7 +403,7 @@
     }
 }
 
-/// Whether the follower lacks any state that is known here.
+/// Whether the response is due at once: the follower lacks changes that are known here, or sent no position.
 fn is_behind(shared: &IngressShared, known: &Known) -> bool {
     let is_same = |it: Place| {
         let (changes, _) = shared.changes_since(it.revision);
--- a/crates/holdpointd/src/ingress/packed.rs
+++ b/crates/holdpointd/src/ingress/packed.rs
@@ -86,13 +86,13 @@
 
     /// The list of targets.
     pub(crate) fn targets(&self, shared: &IngressShared) -> Bytes {
-        let (state, list) = shared.target_list_with_state();
+        let (key, list) = shared.target_list_with_key();
         let mut cached = self.targets.lock();
         match &*cached {
-            Some((of, packed)) if *of == state => packed.clone(),
+            Some((cached_key, packed)) if *cached_key == key => packed.clone(),
             _ => {
                 let packed = compress(&list);
-                *cached = Some((state, packed.clone()));
+                *cached = Some((key, packed.clone()));
                 packed
             }
         }
@@ -102,7 +102,7 @@
     pub(crate) fn configuration(&self, version: Version, bytes: &[u8]) -> Bytes {
         let mut cached = self.configuration.lock();
         match &*cached {
-            Some((of, packed)) if *of == version => packed.clone(),
+            Some((cached_key, packed)) if *cached_key == version => packed.clone(),
             _ => {
                 let packed = compress(bytes);
                 *cached = Some((version, packed.clone()));
@@ -116,7 +116,7 @@
     pub(crate) fn changes(&self, span: (Revision, Revision), changes: &[News]) -> Bytes {
         let mut cached = self.changes.lock();
         match &*cached {
-            Some((of, packed)) if *of == span => packed.clone(),
+            Some((cached_key, packed)) if *cached_key == span => packed.clone(),
             _ => {
                 let packed = pack(&changes);
                 *cached = Some((span, packed.clone()));
@@ -133,7 +133,7 @@
         }
         let mut cached = self.peers.lock();
         match &*cached {
-            Some((of, packed)) if *of == digest => Some(packed.clone()),
+            Some((cached_key, packed)) if *cached_key == digest => Some(packed.clone()),
             _ => {
                 let packed = pack(&shared.instances());
                 *cached = Some((digest, packed.clone()));
@@ -149,7 +149,7 @@
         let digest = shared.instances_digest();
         let mut cached = self.leaders.lock();
         match &*cached {
-            Some((of, packed)) if *of == digest => packed.clone(),
+            Some((cached_key, packed)) if *cached_key == digest => packed.clone(),
             _ => {
                 let is_leaving = shared.is_leaving.load(Ordering::Acquire);
                 let own = (!is_leaving).then(|| shared.own_peer());
--- a/crates/holdpointd/src/ingress/shared.rs
+++ b/crates/holdpointd/src/ingress/shared.rs
@@ -125,7 +125,7 @@
     pub(crate) store_lost: Notify,
     /// Whether this instance reads the store itself rather than following a peer.
     pub(crate) reading: watch::Sender<bool>,
-    /// Whether the last call to the store failed.
+    /// Whether the store failed to answer the last read of the list of targets.
     pub(crate) is_store_silent: watch::Sender<bool>,
     /// Held while a newer configuration is fetched from a peer.
     pub(crate) catching_up: tokio::sync::Mutex<()>,
@@ -140,7 +140,7 @@
     pub(crate) unread: Unread,
     /// Compressed lists for peers.
     pub(crate) packed: Packed,
-    /// Becomes true once the peers have been read from the store, or the read has failed.
+    /// Becomes true once the first attempt to learn the peers, from seeds or the store, has ended.
     pub(crate) peers_known: watch::Sender<bool>,
     configuration: ArcSwap<Configuration>,
     /// The active configuration as it was read, for peers.
@@ -521,25 +521,25 @@
 
     /// The list of targets for peers, as JSON; cached until it changes.
     pub(crate) fn target_list(&self) -> Bytes {
-        self.target_list_with_state().1
+        self.target_list_with_key().1
     }
 
     /// The same, with its cache key.
-    pub(crate) fn target_list_with_state(&self) -> (ListKey, Bytes) {
+    pub(crate) fn target_list_with_key(&self) -> (ListKey, Bytes) {
         let directory = self.directory.lock();
         let now = self.clock.now();
         // The remaining cold time of targets is reported to the second.
         let second = directory.cold(now).next().map_or(0, |_| now / 1000);
-        let state = (self.changes.lock().end(), directory.lapsed().count(), second);
+        let key = (self.changes.lock().end(), directory.lapsed().count(), second);
         let mut cached = self.packed.plain.lock();
         match &*cached {
-            Some((of, list)) if *of == state => (state, list.clone()),
+            Some((cached_key, list)) if *cached_key == key => (key, list.clone()),
             _ => {
                 let list =
                     serde_json::to_vec(&TargetList::new(now, &directory)).unwrap_or_default();
                 let list = Bytes::from(list);
-                *cached = Some((state, list.clone()));
-                (state, list)
+                *cached = Some((key, list.clone()));
+                (key, list)
             }
         }
     }
