--- a/crates/holdpointd/src/ingress/follow.rs
+++ b/crates/holdpointd/src/ingress/follow.rs
@@ -30,7 +30,7 @@
 /// How long a response to a relay waits for an update: shorter than for others, as the data ages by this
 /// time before the relay's followers get it and must still count as fresh there.
 const RELAY_WAIT: Duration = Duration::from_millis(150);
-/// How often an instance that reads the store checks whether it still has to, and pause after a failed poll.
+/// Interval at which a reader of the store checks whether it still is one; also the pause after a failed poll.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between two polls, in which updates accumulate.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
@@ -274,7 +274,7 @@
         let Some(list): Option<TargetList> = list else { continue };
         let now = shared.clock.now();
         shared.change_directory(|directory, changes| {
-            let left = lapsed.into_iter().filter(|id| !list.knows(id));
+            let left = lapsed.into_iter().filter(|id| !list.contains(id));
             left.for_each(|id| changes.remove(directory, now, id, "peer-steady"));
         });
         return;
--- a/crates/holdpointd/src/ingress/news.rs
+++ b/crates/holdpointd/src/ingress/news.rs
@@ -274,7 +274,7 @@
     }
 
     /// Whether a target is in the list, also if its entry may have lapsed.
-    pub(crate) fn knows(&self, id: &str) -> bool {
+    pub(crate) fn contains(&self, id: &str) -> bool {
         let is_listed = |it: &TargetGroup| it.members.iter().any(|it| it.0 == id);
         self.listed.iter().any(is_listed) || self.lapsed.iter().any(|it| it == id)
     }
--- a/crates/holdpointd/src/ingress/watch.rs
+++ b/crates/holdpointd/src/ingress/watch.rs
@@ -56,7 +56,7 @@
 /// Timeout of an append. It is longer than the 2 s for which the store queues an append before it refuses it:
 /// a shorter timeout would add retries to the queue.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(2600);
-/// Time without a new entry after which the instances that start together count as written.
+/// Time without a new entry after which all instances that start together are assumed to have written theirs.
 const QUIET_PERIOD: Duration = Duration::from_millis(400);
 /// Maximum wait for these entries at the first start of the system.
 const FIRST_START_TIMEOUT: Duration = Duration::from_millis(8000);
@@ -66,7 +66,7 @@
 /// Records of a topic from one read.
 struct RecordBatch<'a> {
     records: &'a [KeyedRecord],
-    /// Offset at which reading goes on.
+    /// Offset to continue from.
     next: u64,
     /// Epoch of the store in which they were read.
     epoch: Option<Era>,
