--- a/crates/holdpointd/src/ingress/changes.rs
+++ b/crates/holdpointd/src/ingress/changes.rs
@@ -1,7 +1,7 @@
-//! What one read or one message changed of the targets and peers that an instance knows, and its
-//! lines in the log: a line for each change where there are few, one line with counts where there
-//! are many. After a restart of all instances, lines for each target and peer at each instance would
-//! be two thirds of the log (229,182 of 340,641 lines counted at 295 instances and 287 targets).
+//! Changes of the known targets and peers by one read or message, and their log lines.
+//!
+//! A small number of changes is logged line by line, a large one as a single line with counts. Otherwise
+//! these lines would dominate the log after a restart of all instances.
 
 use holdpoint_core::{
     directory::{Change, Directory, TargetId, TargetInstance},
@@ -10,10 +10,10 @@
 
 use crate::events::{self, emit};
 
-/// Changes up to which each has a line of its own.
-const FEW: usize = 3;
-/// Most ids that one line names.
-const NAMED: usize = 32;
+/// Largest number of changes that are logged line by line.
+const MAX_SINGLE_LINES: usize = 3;
+/// Largest number of ids in one line.
+const MAX_LISTED_IDS: usize = 32;
 
 /// Changes of target instances.
 #[derive(Debug, Default)]
@@ -22,7 +22,8 @@
 }
 
 impl TargetChanges {
-    /// Takes in one entry of a target instance.
+    /// Puts an entry of a target instance into the directory and records the change. `sign` names the source
+    /// of the entry in the log.
     pub(crate) fn put(
         &mut self,
         directory: &mut Directory,
@@ -35,7 +36,7 @@
         self.note(id, change, sign);
     }
 
-    /// Takes in that a target instance is gone.
+    /// Removes a target instance from the directory and records the change.
     pub(crate) fn remove(
         &mut self,
         directory: &mut Directory,
@@ -48,7 +49,7 @@
         self.note(id, change, sign);
     }
 
-    /// Notes a change that was made.
+    /// Records a change that the directory has made.
     pub(crate) fn note(&mut self, id: TargetId, change: Change, sign: &'static str) {
         if change != Change::Nothing {
             self.changes.push((id, change, sign));
@@ -60,13 +61,13 @@
         self.changes.is_empty()
     }
 
-    /// Ids of the targets that have joined, or started again.
+    /// Ids of the targets that have joined or restarted.
     pub(crate) fn joined(&self) -> impl Iterator<Item = &TargetId> {
         let is_new = |it: Change| matches!(it, Change::Joined | Change::Restarted);
         self.changes.iter().filter(move |it| is_new(it.1)).map(|it| &it.0)
     }
 
-    /// Ids of the targets that have started again.
+    /// Ids of the targets that have restarted.
     pub(crate) fn restarted(&self) -> impl Iterator<Item = &TargetId> {
         self.changes.iter().filter(|it| it.1 == Change::Restarted).map(|it| &it.0)
     }
@@ -78,7 +79,7 @@
 
     /// Writes the changes to the log.
     pub(crate) fn log(&self, instance: &str, directory: &Directory) {
-        if self.changes.len() <= FEW {
+        if self.changes.len() <= MAX_SINGLE_LINES {
             for (id, change, sign) in &self.changes {
                 let service = directory.get(id).map_or("", |it| it.service.as_str());
                 let event = match change {
@@ -92,7 +93,7 @@
         }
         let count = |change| self.changes.iter().filter(|it| it.1 == change).count();
         let leaving = self.changes.iter().filter(|it| it.1 == Change::Leaving);
-        let leaving: Vec<&str> = leaving.take(NAMED).map(|it| it.0.as_str()).collect();
+        let leaving: Vec<&str> = leaving.take(MAX_LISTED_IDS).map(|it| it.0.as_str()).collect();
         let detail = format!(
             "joined={} restarted={} altered={} leaving={} known={} sign={} leaving_ids={}",
             count(Change::Joined),
@@ -107,14 +108,14 @@
     }
 }
 
-/// Changes of peers: name and address, which a peer that has left does not have.
+/// Changes of peers: their names and addresses; no address if the peer is gone.
 #[derive(Debug, Default)]
 pub(crate) struct PeerChanges {
     changes: Vec<(String, Option<String>)>,
 }
 
 impl PeerChanges {
-    /// Notes a change that was made.
+    /// Records a change; `address` is `None` if the peer is gone.
     pub(crate) fn note(&mut self, name: &str, address: Option<String>) {
         self.changes.push((name.to_owned(), address));
     }
@@ -124,9 +125,9 @@
         self.changes.is_empty()
     }
 
-    /// Writes the changes to the log of an instance that now knows so many instances.
+    /// Writes the changes to the log of an instance; `known` is the number of instances known afterwards.
     pub(crate) fn log(&self, instance: &str, known: usize) {
-        if self.changes.len() <= FEW {
+        if self.changes.len() <= MAX_SINGLE_LINES {
             for (name, address) in &self.changes {
                 let address = address.as_deref().unwrap_or("none");
                 emit(events::PEER_CHANGED, instance, &format!("peer={name} address={address}"));
@@ -134,7 +135,7 @@
             return;
         }
         let left = self.changes.iter().filter(|it| it.1.is_none());
-        let left: Vec<&str> = left.take(NAMED).map(|it| it.0.as_str()).collect();
+        let left: Vec<&str> = left.take(MAX_LISTED_IDS).map(|it| it.0.as_str()).collect();
         let joined = self.changes.iter().filter(|it| it.1.is_some()).count();
         let detail = format!(
             "joined={joined} left={} known={known} left_names={}",
--- a/crates/holdpointd/src/ingress/confirm.rs
+++ b/crates/holdpointd/src/ingress/confirm.rs
@@ -1,8 +1,8 @@
-//! Makes sure that the configuration in force is the newest one before a request is denied by it.
+//! Confirms that the active configuration is the newest one before a request is denied by it.
 //!
-//! A request on a route, or with a key, that was added a moment ago is refused for good by an instance
-//! that has not heard of it. One that has heard of late that there is nothing newer denies at once; any
-//! other asks a peer that has read the store, or the store, once for all requests that wait.
+//! An instance with an outdated configuration would reject requests for a route or with a key that was
+//! just added. An instance whose configuration was confirmed recently denies at once. Any other asks a
+//! peer that has read the store, or the store itself; one query serves all waiting requests.
 
 use std::{
     sync::{
@@ -19,65 +19,65 @@
     ingress::{follow, shared::IngressShared, watch},
 };
 
-/// How long a confirmation counts, in milliseconds: followers are told every 400 ms, so that a usual
-/// denial costs no call.
-const CONFIRMED_MS: Millis = 1000;
-/// How long a request that would be denied waits for one at most: two peers and the store, at the
-/// distance of another region.
-const LIMIT: Duration = Duration::from_millis(1000);
+/// Validity of a confirmation. Longer than the interval of updates to followers, so that denials usually
+/// need no query.
+const VALIDITY_MS: Millis = 1000;
+/// Longest wait of a request for a confirmation. Allows for queries to two peers and the store in another
+/// region.
+const TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// When the configuration in force was last known to be the newest one.
+/// Time at which the active configuration was last confirmed as the newest one.
 #[derive(Debug, Default)]
 pub(crate) struct Confirmation {
-    /// In milliseconds; 0 is never.
-    at: AtomicU64,
-    /// When somebody began to ask last, whatever came of it, in milliseconds.
-    tried: AtomicU64,
-    /// Held while somebody asks.
-    asking: tokio::sync::Mutex<()>,
+    /// Milliseconds of the instance's clock; 0 is never.
+    confirmed_at: AtomicU64,
+    /// Start of the last query, successful or not, in milliseconds of the same clock.
+    queried_at: AtomicU64,
+    /// Held during a query, so that only one runs at a time.
+    query_lock: tokio::sync::Mutex<()>,
 }
 
 impl Confirmation {
-    /// Takes in that the configuration in force was the newest one at a time.
+    /// Records that the active configuration was the newest one at `at`, in milliseconds of the clock.
     pub(crate) fn note(&self, at: Millis) {
-        self.at.fetch_max(at, Ordering::AcqRel);
+        self.confirmed_at.fetch_max(at, Ordering::AcqRel);
     }
 
-    fn is_since(&self, at: Millis) -> bool {
-        let confirmed = self.at.load(Ordering::Acquire);
+    fn is_confirmed_since(&self, at: Millis) -> bool {
+        let confirmed = self.confirmed_at.load(Ordering::Acquire);
         confirmed != 0 && at <= confirmed
     }
 }
 
-/// Waits until the configuration in force is known to be the newest one, or was replaced by it; `false`
-/// where nobody could be asked in time.
+/// Waits until the active configuration is confirmed as the newest one, or replaced by it. Returns `false`
+/// if no peer or store answered in time.
 pub(crate) async fn confirm(shared: &Arc<IngressShared>) -> bool {
     let confirmation = &shared.confirmation;
     let now = shared.clock.now();
-    if confirmation.is_since(now.saturating_sub(CONFIRMED_MS).max(1)) {
+    if confirmation.is_confirmed_since(now.saturating_sub(VALIDITY_MS).max(1)) {
         return true;
     }
-    let asked = async {
-        let _one = confirmation.asking.lock().await;
-        if confirmation.tried.load(Ordering::Acquire) < now.max(1) {
-            confirmation.tried.store(shared.clock.now().max(1), Ordering::Release);
-            ask(shared).await;
+    let queried = async {
+        let _guard = confirmation.query_lock.lock().await;
+        if confirmation.queried_at.load(Ordering::Acquire) < now.max(1) {
+            confirmation.queried_at.store(shared.clock.now().max(1), Ordering::Release);
+            query(shared).await;
         }
     };
-    // Whoever waited finds out by itself whether that was enough.
-    let _ = tokio::time::timeout(LIMIT, asked).await;
-    confirmation.is_since(now.saturating_sub(CONFIRMED_MS).max(1))
+    // Also after a timeout, another request's query may have confirmed it.
+    let _ = tokio::time::timeout(TIMEOUT, queried).await;
+    confirmation.is_confirmed_since(now.saturating_sub(VALIDITY_MS).max(1))
 }
 
-/// Asks peers that follow the store or read it, then the store itself.
-async fn ask(shared: &Arc<IngressShared>) {
-    let begun = shared.clock.now();
+/// Asks peers that follow or read the store, then the store itself.
+async fn query(shared: &Arc<IngressShared>) {
+    let started_at = shared.clock.now();
     if follow::confirm_configuration(shared).await {
-        shared.confirmation.note(begun);
+        shared.confirmation.note(started_at);
         return;
     }
     watch::read_configuration(shared).await;
-    if !shared.confirmation.is_since(begun.max(1)) {
+    if !shared.confirmation.is_confirmed_since(started_at.max(1)) {
         let detail = format!("version={}", shared.configuration().version);
         emit(events::UNCONFIRMED, &shared.settings.instance, &detail);
     }
--- a/crates/holdpointd/src/ingress/declared.rs
+++ b/crates/holdpointd/src/ingress/declared.rs
@@ -1,4 +1,5 @@
-//! Policies and trials that operators declare in the store, as they are in force here.
+//! The active policies and trials, which operators declare as resources in the store. Keeps their bytes too,
+//! to send them to peers unchanged.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,38 +8,38 @@
 use holdpoint_core::experiments::{BadResource, Experiments};
 use parking_lot::Mutex;
 
-/// Resources in force, with the bytes that they were declared by, for peers.
+/// The active resources, and the bytes that they were parsed from.
 #[derive(Default)]
 pub(crate) struct Declared {
     bytes: Mutex<BTreeMap<String, Bytes>>,
-    in_force: ArcSwap<Experiments>,
+    active: ArcSwap<Experiments>,
 }
 
 impl Declared {
-    /// Resources in force.
+    /// The active resources.
     pub(crate) fn now(&self) -> Arc<Experiments> {
-        self.in_force.load_full()
+        self.active.load_full()
     }
 
-    /// All resources by key.
+    /// Bytes of all resources, by key.
     pub(crate) fn all(&self) -> Vec<(String, Bytes)> {
         self.bytes.lock().iter().map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 
-    /// Puts a resource in force, or drops it; whether that is new. One that cannot be read leaves
-    /// the one before it in force.
+    /// Sets a resource, or removes it where `value` is `None`; returns whether anything changed. If it
+    /// cannot be parsed, the previous one stays active.
     pub(crate) fn set(&self, key: &str, value: Option<Bytes>) -> Result<bool, BadResource> {
         let mut bytes = self.bytes.lock();
         if bytes.get(key) == value.as_ref() {
             return Ok(false);
         }
-        let mut next = Experiments::clone(&self.in_force.load());
+        let mut next = Experiments::clone(&self.active.load());
         next.set(key, value.as_deref())?;
         match value {
             Some(it) => drop(bytes.insert(key.to_owned(), it)),
             None => drop(bytes.remove(key)),
         }
-        self.in_force.store(Arc::new(next));
+        self.active.store(Arc::new(next));
         Ok(true)
     }
 }
--- a/crates/holdpointd/src/ingress/domains.rs
+++ b/crates/holdpointd/src/ingress/domains.rs
@@ -1,4 +1,5 @@
-//! Failure domains that are evacuated, as this instance knows them, and what follows from a change.
+//! Evacuated failure domains, as this instance knows them. Applies changes to routing and batching and logs
+//! them.
 
 use std::sync::Arc;
 
@@ -14,9 +15,9 @@
     ingress::{batches::pump_all, shared::IngressShared},
 };
 
-/// How long a restored domain's targets are taken to be cold at least, in milliseconds: they may have
-/// turned cold shortly before, and an entry that tells it is up to two seconds old.
-const RESTORED_COLD_MS: Millis = 3000;
+/// Least time for which targets of a restored domain are treated as cold. They may have become cold shortly
+/// before, and the entries that report it arrive with a delay.
+const MIN_COLD_MS: Millis = 3000;
 
 /// The failure domains that are evacuated.
 #[derive(Debug, Default)]
@@ -25,12 +26,12 @@
 }
 
 impl Domains {
-    /// What is known.
+    /// Copy of the known state.
     pub(crate) fn state(&self) -> Evacuations {
         self.state.lock().clone()
     }
 
-    /// How far the log of orders is known.
+    /// Position in the log of orders up to which it is known.
     pub(crate) fn position(&self) -> Position {
         self.state.lock().position()
     }
@@ -41,29 +42,30 @@
     }
 }
 
-/// Takes over what is newer of the domains that are evacuated: their targets get no new work from now
-/// on, and what waits for them is placed elsewhere at once.
+/// Applies a state of the evacuations if it is newer. Targets of evacuated domains get no new work, and work
+/// that is queued for them is placed elsewhere at once.
 pub(crate) fn take_over(shared: &Arc<IngressShared>, newer: Evacuations, source: &str) {
     let now = shared.clock.now();
     let Some(changes) = shared.domains.state.lock().advance(now, newer) else { return };
     shared.has_news.send_replace(());
-    put_in_force(shared, &changes, source);
+    apply_changes(shared, &changes, source);
 }
 
-/// Restores the domains that the store lacked when it came back, and whose orders nobody has written again.
+/// Restores the domains whose orders were missing from the store after a rollback and were not written again
+/// in time.
 pub(crate) fn settle(shared: &Arc<IngressShared>) {
     let changes = shared.domains.state.lock().settle(shared.clock.now());
-    put_in_force(shared, &changes, "settled");
+    apply_changes(shared, &changes, "settled");
 }
 
-fn put_in_force(shared: &Arc<IngressShared>, changes: &[DomainChange], source: &str) {
+fn apply_changes(shared: &Arc<IngressShared>, changes: &[DomainChange], source: &str) {
     if changes.is_empty() {
         return;
     }
     for change in changes {
         log(shared, change, source);
         if !change.is_evacuated {
-            hold_cold(shared, &change.domain);
+            mark_cold(shared, &change.domain);
         }
     }
     shared.apply_directory();
@@ -73,25 +75,26 @@
 fn log(shared: &IngressShared, change: &DomainChange, source: &str) {
     let DomainChange { domain, is_evacuated } = change;
     let targets = shared.targets();
-    let staying = || targets.iter().filter(|it| !it.is_leaving);
-    let open = staying().filter(|it| !shared.domains.is_evacuated(&it.domain)).count();
+    let undrained = || targets.iter().filter(|it| !it.is_leaving);
+    let open = undrained().filter(|it| !shared.domains.is_evacuated(&it.domain)).count();
     let detail = format!(
         "domain={domain} evacuated={is_evacuated} horizon={} its_targets={} open_targets={open} \
          targets={} source={source}",
         shared.domains.position().offset,
-        staying().filter(|it| it.domain == *domain).count(),
-        staying().count(),
+        undrained().filter(|it| it.domain == *domain).count(),
+        undrained().count(),
     );
     emit(events::DOMAIN_CHANGED, &shared.settings.instance, &detail);
     let delta = if *is_evacuated { 1 } else { -1 };
     shared.metrics.evacuated_domains.add(delta, &[]);
 }
 
-fn hold_cold(shared: &IngressShared, domain: &str) {
+/// Treats all targets of a domain as cold for a while.
+fn mark_cold(shared: &IngressShared, domain: &str) {
     let configuration = shared.configuration();
     let its: Vec<_> = shared.targets().into_iter().filter(|it| it.domain == domain).collect();
     shared.hold_cold(its.iter().filter_map(|it| {
         let cold = configuration.services.get(&it.service)?.cold?;
-        Some((it.id.as_str(), cold.start_ms.max(RESTORED_COLD_MS)))
+        Some((it.id.as_str(), cold.start_ms.max(MIN_COLD_MS)))
     }));
 }
--- a/crates/holdpointd/src/ingress/mod.rs
+++ b/crates/holdpointd/src/ingress/mod.rs
@@ -1,9 +1,9 @@
-//! The platform's ingress: requests of any method and body, by host and path, to the services that
-//! the operators' configuration names.
+//! The platform's ingress: routes requests of any method and body, by host and path, to the services
+//! that the operators' configuration names.
 //!
-//! All of it runs on one thread: an instance has a part of one core, and what a request touches
-//! is mostly shared by all. Everything that decides is in `holdpoint-core`; every name of the
-//! platform is in `holdpoint-adapter`.
+//! An instance runs on one thread: it has a share of one core, and requests mostly work on shared
+//! state. Decision logic is in `holdpoint-core`, names that the platform defines are in
+//! `holdpoint-adapter`.
 
 mod answer;
 mod attempts;
@@ -65,17 +65,17 @@
     ingress::shared::IngressShared,
 };
 
-/// How often calls are started that had to wait for time to pass.
-const PUMP: Duration = Duration::from_millis(50);
-/// How often connections that have rested too long are closed.
-const SWEEP: Duration = Duration::from_millis(1000);
-/// How long before the forced end a planned stop gives up on what is still in flight.
+/// Interval at which batches are checked for calls that have become due.
+const PUMP_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which idle connections are closed and expired state is removed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
+/// Part of the grace period that a planned stop keeps free before the platform ends the process.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How long before that what has no answer yet gets its final one, so that no caller's connection is
-/// closed without.
-const LAST_ANSWERS: Duration = Duration::from_millis(300);
-/// How long callers' connections may take to close once nothing is in flight.
-const CLOSE: Duration = Duration::from_millis(150);
+/// Time before the end of the drain at which requests without a response get a final one, so that no
+/// caller's connection is closed without a response.
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(300);
+/// Time for callers' connections to close after the drain.
+const CLOSE_DELAY: Duration = Duration::from_millis(150);
 
 /// One running ingress instance.
 pub struct Ingress {
@@ -83,7 +83,9 @@
 }
 
 impl Ingress {
-    /// Starts an instance on the runtime of the caller.
+    /// Starts an instance on the caller's Tokio runtime.
+    ///
+    /// Fails if an address other than that of the metrics cannot be bound.
     pub fn start(mut settings: IngressSettings) -> Result<Ingress, Report<StartError>> {
         let listen = &mut settings.listen;
         let callers = bind(&mut listen.callers)?;
@@ -118,22 +120,22 @@
         Ok(Ingress { shared })
     }
 
-    /// Addresses that it listens on, with the ports that were chosen where the settings say 0.
+    /// Addresses that the instance listens on; port 0 of the settings is replaced by the bound port.
     pub fn listen(&self) -> &Listen {
         &self.shared.settings.listen
     }
 
-    /// Version of the configuration in force; 0 is none.
+    /// Version of the active configuration; 0 if there is none.
     pub fn version(&self) -> Version {
         self.shared.configuration().version
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send requests to this instance.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Number of peers that it knows.
+    /// Number of known peers.
     pub fn peer_count(&self) -> usize {
         self.shared.peers.all().len()
     }
@@ -143,85 +145,86 @@
         self.shared.in_flight.count()
     }
 
-    /// Number of target instances that it knows and that are not leaving.
+    /// Number of known target instances that are not draining.
     pub fn target_count(&self) -> usize {
         self.shared.targets().iter().filter(|it| !it.is_leaving).count()
     }
 
-    /// Number of target instances that may get new work.
+    /// Number of target instances that may get new work: neither draining nor in an evacuated domain.
     pub fn open_count(&self) -> usize {
         let is_open = |it: &TargetInstance| !self.shared.domains.is_evacuated(&it.domain);
         self.shared.targets().iter().filter(|it| !it.is_leaving && is_open(it)).count()
     }
 
-    /// Failure domains that are evacuated, whether targets are known there or not.
+    /// Evacuated failure domains, including those without known targets.
     pub fn evacuated(&self) -> Vec<Name> {
         self.shared.domains.state().domains().cloned().collect()
     }
 
-    /// Where the roll-out of a service stands, as far as this instance knows.
+    /// Phase of the roll-out of a service, as far as this instance knows it.
     pub fn rollout(&self, service: &str) -> Option<Phase> {
         self.shared.rollouts.phase(self.shared.clock.now(), service)
     }
 
-    /// Stops as planned: not ready at once, new work while the balancer notices, then the end of
-    /// all that is in flight, within the grace that the platform gives.
+    /// Stops gracefully within the platform's grace period: reports not ready at once, accepts requests
+    /// until the load balancer has noticed, then waits for the requests in flight.
     pub async fn stop(self) -> Ended {
         let shared = &self.shared;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let timing = &shared.settings.timing;
         let grace = Duration::from_secs_f64(timing.grace_s).saturating_sub(STOP_MARGIN);
         let detail = format!("in_flight={}", shared.in_flight.count());
         emit(events::STOPPING, &shared.settings.instance, &detail);
         shared.is_leaving.store(true, Ordering::Release);
         shared.peers.leave();
-        let left = tokio::spawn({
+        let deregistration = tokio::spawn({
             let shared = shared.clone();
             async move { watch::leave_peers(&shared).await }
         });
         sleep(Duration::from_millis(timing.linger_ms).min(grace)).await;
         shared.closing.send_replace(true);
-        let rest = grace.saturating_sub(begun.elapsed());
+        let rest = grace.saturating_sub(started_at.elapsed());
         let is_drained = drain(shared, rest).await;
-        sleep(CLOSE).await;
-        left.abort();
+        sleep(CLOSE_DELAY).await;
+        deregistration.abort();
         let detail = format!("in_flight={}", shared.in_flight.count());
         emit(events::STOPPED, &shared.settings.instance, &detail);
         if is_drained { Ended::Drained } else { Ended::Cut }
     }
 }
 
-/// Failure domain of the instance that an entry in the store describes; empty where it does not tell,
-/// `None` where it cannot be read.
+/// Failure domain of the instance that an entry in the store describes; empty if the entry has none,
+/// `None` if the entry is malformed.
 pub fn domain_of_entry(entry: &[u8]) -> Option<String> {
     peers::Peer::parse(entry).map(|it| it.domain)
 }
 
-/// What stands in a frame between peers: a question, or an answer. Builds older and newer than the one that wrote
-/// it have to read it.
+/// Decodes a frame between peers, a request or a response, to JSON. For tests of compatibility between
+/// versions.
 pub fn read_peer_frame(frame: &[u8], is_answer: bool) -> io::Result<serde_json::Value> {
     if is_answer { peer_service::read_answer(frame) } else { peer_service::read_request(frame) }
 }
 
-/// Waits until nothing is in flight, for so long at most; whether that came about. What has no answer
-/// shortly before gets its final one.
+/// Waits up to `rest` until no request is in flight; returns whether that was reached. Requests without a
+/// response shortly before the end get a final one.
 async fn drain(shared: &IngressShared, rest: Duration) -> bool {
-    let is_drained = timeout(rest.saturating_sub(LAST_ANSWERS), shared.in_flight.idle()).await;
+    let is_drained =
+        timeout(rest.saturating_sub(FINAL_RESPONSE_TIME), shared.in_flight.idle()).await;
     if is_drained.is_ok() {
         return true;
     }
     shared.answer_now.send_replace(true);
-    timeout(LAST_ANSWERS, shared.in_flight.idle()).await.is_ok()
+    timeout(FINAL_RESPONSE_TIME, shared.in_flight.idle()).await.is_ok()
 }
 
 async fn tick(shared: Arc<IngressShared>) {
-    let mut pump = interval(PUMP);
-    let mut sweep = interval(SWEEP);
-    let mut suspensions = Suspensions::default();
+    let mut pump = interval(PUMP_INTERVAL);
+    let mut sweep = interval(SWEEP_INTERVAL);
+    let mut detector = SuspensionDetector::default();
     loop {
         tokio::select! {
             _ = pump.tick() => {
-                if let Some(it) = suspensions.look() {
+                if let Some(it) = detector.detect() {
                     shared.woken_after(it);
                 }
                 batches::pump_all(&shared);
@@ -235,32 +238,35 @@
     }
 }
 
-/// Difference between the clock that goes on in a suspension and the steady one, from which on the
-/// machine counts as having been suspended: adjustments of the clocks are far below.
-const SUSPENDED: Duration = Duration::from_millis(200);
+/// Lead of the clock that counts suspended time over the monotonic clock from which the machine is treated
+/// as having been suspended. Clock adjustments are far smaller.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// Notices suspensions of the machine: the steady clock leaves them out.
-struct Suspensions {
-    steady: std::time::Instant,
-    whole: Instant,
+/// Detects suspensions of the machine: compares a clock that counts suspended time with one that does
+/// not.
+struct SuspensionDetector {
+    monotonic: std::time::Instant,
+    total: Instant,
 }
 
-impl Default for Suspensions {
-    fn default() -> Suspensions {
-        Suspensions { steady: std::time::Instant::now(), whole: Instant::now() }
+impl Default for SuspensionDetector {
+    fn default() -> SuspensionDetector {
+        SuspensionDetector { monotonic: std::time::Instant::now(), total: Instant::now() }
     }
 }
 
-impl Suspensions {
-    /// How long the machine was suspended since the last look, if it was.
-    fn look(&mut self) -> Option<Duration> {
+impl SuspensionDetector {
+    /// Duration of a suspension since the previous call, if there was one.
+    fn detect(&mut self) -> Option<Duration> {
         let before = std::mem::take(self);
-        let left_out = (self.whole - before.whole).saturating_sub(self.steady - before.steady);
-        (SUSPENDED <= left_out).then_some(left_out)
+        let suspended =
+            (self.total - before.total).saturating_sub(self.monotonic - before.monotonic);
+        (MIN_SUSPENSION <= suspended).then_some(suspended)
     }
 }
 
-/// Binds the metrics' address, if there is one. An instance serves its callers without it too.
+/// Binds the metrics address, if one is set. A failure is only logged: requests are served without
+/// metrics.
 fn bind_metrics(instance: &str, listen: &mut Listen) -> Option<tokio::net::TcpListener> {
     if listen.metrics.is_empty() {
         return None;
@@ -269,7 +275,7 @@
     bound.inspect_err(|it| emit(events::BAD_ADDRESS, instance, &format!("{it:?}"))).ok()
 }
 
-/// Binds an address and puts the one that was bound in its place.
+/// Binds an address and replaces it by the bound one.
 fn bind(address: &mut String) -> Result<tokio::net::TcpListener, Report<StartError>> {
     let listener = TcpListener::bind(address.as_str())
         .change_context(StartError::Bind)
