--- a/crates/holdpointd/src/ingress/departures.rs
+++ b/crates/holdpointd/src/ingress/departures.rs
@@ -1,8 +1,8 @@
-//! Targets that have said in their answers that they leave: whoever hears it tells those who read the store,
-//! and all others follow these.
+//! Drain notices: targets that report in a response that they are draining. The instance that receives the
+//! response sends the notice to the instances that read the store, which all others follow.
 //!
-//! The store may be away, or list such a target as ready for a while. Without this, whoever places prompts or
-//! batches pieces for all goes on choosing it, and one that starts is told that it is open.
+//! The store may be unreachable, or list such a target as ready for a while. Without these notices, the owners
+//! of services would continue to choose it, and instances that start would receive it as open.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -20,25 +20,26 @@
 
 use crate::{
     events::{self, emit},
-    ingress::{peer_service::DEPARTURES, peers::Peer, shared::IngressShared},
+    ingress::{peer_service::DRAIN_PROTOCOL, peers::Peer, shared::IngressShared},
 };
 
-/// How long departures are gathered before they are told together.
-const GATHER: Duration = Duration::from_millis(20);
-/// How often it is looked who was not reached, and whether this instance has begun to read the store.
-const REVIEW: Duration = Duration::from_millis(500);
-/// How long a departure is told to others after its target was last listed, in milliseconds: longer than entries
-/// take to lapse and come back.
-const KEPT_MS: Millis = 60_000;
-/// Departures that are told at once, at most.
-const MOST_TOLD: usize = 1000;
-
-/// A life of a target that leaves.
+/// Delay before notices are sent, so that several go out together.
+const SEND_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which unsent notices are retried, expired ones are removed, and the role of this instance is
+/// checked.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Retention of a notice after its target was last listed. Longer than an entry takes to lapse and be
+/// restored.
+const RETENTION_MS: Millis = 60_000;
+/// Largest number of notices in one message.
+const MAX_NOTICES: usize = 1000;
+
+/// An incarnation of a target that is draining.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Departure {
     /// Id of the target.
     pub(crate) target: TargetId,
-    /// When its life began, where it tells that, in milliseconds of Unix time.
+    /// Start of the incarnation in milliseconds of Unix time, if the target reports it.
     #[serde(default)]
     pub(crate) born: Option<Millis>,
 }
@@ -49,73 +50,74 @@
     }
 }
 
-/// Departures that were heard of in answers.
+/// Drain notices that this instance passes on to the readers of the store.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
-    known: Mutex<HashMap<TargetId, Known>>,
-    has_news: Notify,
+    known: Mutex<HashMap<TargetId, TrackedNotice>>,
+    has_unsent: Notify,
 }
 
 #[derive(Debug)]
-struct Known {
+struct TrackedNotice {
     departure: Departure,
     /// When its target was last listed, in milliseconds.
-    listed: Millis,
-    /// Peers, by name and life, that have been told or have told it.
-    told: Vec<(Name, String)>,
+    listed_at: Millis,
+    /// Peers, by name and incarnation, that have received the notice.
+    receivers: Vec<(Name, String)>,
 }
 
 impl Departures {
     fn note(&self, now: Millis, departure: Departure) {
-        let known = Known { departure, listed: now, told: Vec::new() };
+        let known = TrackedNotice { departure, listed_at: now, receivers: Vec::new() };
         self.known.lock().insert(known.departure.target.clone(), known);
     }
 
-    /// All that are known, for a peer.
+    /// Known notices, as many as one message holds.
     fn all(&self) -> Vec<Departure> {
         let known = self.known.lock();
-        known.values().take(MOST_TOLD).map(|it| it.departure.clone()).collect()
+        known.values().take(MAX_NOTICES).map(|it| it.departure.clone()).collect()
     }
 
-    /// Forgets those whose targets have not been listed for long.
+    /// Removes notices whose targets have not been listed for [`RETENTION_MS`].
     fn forget(&self, now: Millis, is_listed: impl Fn(&str) -> bool) {
         self.known.lock().retain(|id, it| {
             if is_listed(id) {
-                it.listed = now;
+                it.listed_at = now;
             }
-            now < it.listed + KEPT_MS
+            now < it.listed_at + RETENTION_MS
         });
     }
 }
 
-/// Takes in that an answer of a target said that it leaves.
+/// Records that a target has reported in a response that it is draining.
 pub(crate) fn answered(shared: &IngressShared, target: &TargetInstance) {
     if shared.target_leaves(&Departure::of(target), "answer") == Change::Leaving {
         emit(events::LEAVING_NOTICE, &shared.settings.instance, &format!("target={}", target.id));
         shared.departures.note(shared.clock.now(), Departure::of(target));
-        shared.departures.has_news.notify_one();
+        shared.departures.has_unsent.notify_one();
     }
 }
 
-/// Takes in what a peer tells, and returns what this instance knows.
-pub(crate) fn take_news(shared: &IngressShared, told: Vec<Departure>) -> Vec<Departure> {
-    take_all(shared, told);
+/// Applies notices from a peer, and returns those that this instance knows.
+pub(crate) fn exchange_notices(shared: &IngressShared, notices: Vec<Departure>) -> Vec<Departure> {
+    apply_notices(shared, notices);
     shared.departures.all()
 }
 
-/// Takes in what a peer tells.
-pub(crate) fn take_all(shared: &IngressShared, told: Vec<Departure>) {
-    for it in told.into_iter().take(MOST_TOLD) {
+/// Applies notices from a peer.
+pub(crate) fn apply_notices(shared: &IngressShared, notices: Vec<Departure>) {
+    for it in notices.into_iter().take(MAX_NOTICES) {
         let is_new = shared.target_leaves(&it, "peer-answer") == Change::Leaving;
-        // Those who follow this instance hear of it as of any change; the other readers do not follow.
+        // Followers receive it like any other change. Other readers do not follow this instance, so a reader
+        // keeps the notice to send it to them.
         if is_new && *shared.reading.borrow() {
             shared.departures.note(shared.clock.now(), it);
         }
     }
 }
 
-/// Of some makers of results, those that leave.
-pub(crate) fn of_makers<'a>(
+/// Drain notices for those of `makers`, addresses of targets that made results, that are draining.
+pub(crate) fn notices_for<'a>(
     shared: &IngressShared,
     makers: impl Iterator<Item = &'a str>,
 ) -> Vec<Departure> {
@@ -125,56 +127,60 @@
     departures
 }
 
-/// Tells what there is to tell, until the task is dropped.
+/// Sends notices to the readers of the store, until the task is dropped.
 pub(crate) async fn run(shared: Arc<IngressShared>) {
-    let mut review_at = interval(REVIEW);
+    let mut review = interval(REVIEW_INTERVAL);
     let mut was_reader = false;
     loop {
         tokio::select! {
-            () = shared.departures.has_news.notified() => sleep(GATHER).await,
-            _ = review_at.tick() => {
+            () = shared.departures.has_unsent.notified() => sleep(SEND_DELAY).await,
+            _ = review.tick() => {
                 let now = shared.clock.now();
                 shared.departures.forget(now, |it| shared.target(it).is_some());
             }
         }
-        // One that begins to read the store lists for others what it finds there.
+        // A new reader passes on the store's entries, which may list draining targets as ready, so it asks the
+        // other readers for their notices.
         let is_reader = *shared.reading.borrow();
-        tell_readers(&shared, is_reader && !was_reader).await;
+        notify_readers(&shared, is_reader && !was_reader).await;
         was_reader = is_reader;
     }
 }
 
-/// Tells those who read the store what they have not been told; `asks` has them tell what they know in any case.
-async fn tell_readers(shared: &Arc<IngressShared>, asks: bool) {
+/// Sends the readers of the store the notices that they have not received. With `asks`, also calls readers that
+/// have received all, to get theirs.
+async fn notify_readers(shared: &Arc<IngressShared>, asks: bool) {
     if !asks && shared.departures.known.lock().is_empty() {
         return;
     }
     let readers = shared.peers.sources().readers;
     let peers = shared.peers.all().into_iter();
-    let peers = peers.filter(|it| readers.contains(&it.1.address) && DEPARTURES <= it.1.protocol);
-    let tell = |(name, peer): (Name, Peer)| async move {
-        let life = (name, peer.life);
-        let news = untold(shared, &life);
-        if news.is_empty() && !asks {
+    let peers =
+        peers.filter(|it| readers.contains(&it.1.address) && DRAIN_PROTOCOL <= it.1.protocol);
+    let send = |(name, peer): (Name, Peer)| async move {
+        let incarnation = (name, peer.life);
+        let notices = unsent(shared, &incarnation);
+        if notices.is_empty() && !asks {
             return;
         }
-        let Ok(known) = shared.peers.tell_departures(shared, &peer.address, news.clone()).await
+        let Ok(known) =
+            shared.peers.send_drain_notices(shared, &peer.address, notices.clone()).await
         else {
             return;
         };
-        for it in news {
+        for it in notices {
             if let Some(known) = shared.departures.known.lock().get_mut(&it.target) {
-                known.told.push(life.clone());
+                known.receivers.push(incarnation.clone());
             }
         }
-        take_all(shared, known);
+        apply_notices(shared, known);
     };
-    peers.map(tell).collect::<FuturesUnordered<_>>().count().await;
+    peers.map(send).collect::<FuturesUnordered<_>>().count().await;
 }
 
-/// Departures that a life of a peer has not been told.
-fn untold(shared: &IngressShared, life: &(Name, String)) -> Vec<Departure> {
+/// Notices that an incarnation of a peer has not received.
+fn unsent(shared: &IngressShared, incarnation: &(Name, String)) -> Vec<Departure> {
     let known = shared.departures.known.lock();
-    let untold = known.values().filter(|it| !it.told.contains(life));
-    untold.take(MOST_TOLD).map(|it| it.departure.clone()).collect()
+    let unsent = known.values().filter(|it| !it.receivers.contains(incarnation));
+    unsent.take(MAX_NOTICES).map(|it| it.departure.clone()).collect()
 }
--- a/crates/holdpointd/src/ingress/peer_service.rs
+++ b/crates/holdpointd/src/ingress/peer_service.rs
@@ -1,4 +1,4 @@
-//! RPC between ingress instances: its messages, and the side that answers.
+//! RPC between ingress instances: the messages and the server.
 
 use std::{io, pin::Pin, sync::Arc};
 
@@ -41,73 +41,73 @@
     shared::IngressShared,
 };
 
-/// Largest message between peers, in bytes.
-const MAX_FRAME: usize = 16 << 20;
+/// Largest message between peers.
+const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Version of the protocol that this instance speaks: from 1 on, [`IngressPeers::check`] is known.
-pub(crate) const PROTOCOL: u32 = DEPARTURES;
-/// Version from which on an instance keeps confined work in its regions.
-pub(crate) const CONFINES: u32 = 2;
-/// Version from which on [`IngressPeers::lend`] is known.
-pub(crate) const LENDING: u32 = 3;
-/// Version from which on [`IngressPeers::report_runs`] and [`IngressPeers::tell_verdicts`] are known.
+/// Protocol version of this instance. [`IngressPeers::check`] needs version 1.
+pub(crate) const PROTOCOL: u32 = DRAIN_PROTOCOL;
+/// First protocol version that keeps confined work within its regions.
+pub(crate) const CONFINEMENT_PROTOCOL: u32 = 2;
+/// First protocol version with [`IngressPeers::lend`].
+pub(crate) const LENDING_PROTOCOL: u32 = 3;
+/// First protocol version with [`IngressPeers::report_runs`] and [`IngressPeers::tell_verdicts`].
 pub(crate) const QUARANTINES: u32 = 4;
-/// Version from which on [`news::Place::sum`] is read.
+/// First protocol version that reads [`news::Place::sum`].
 pub(crate) const SUMS: u32 = 5;
-/// Version from which on [`IngressPeers::take_slot`], [`IngressPeers::hear_limits`] and
-/// [`IngressPeers::assign`] are known.
+/// First protocol version with [`IngressPeers::take_slot`], [`IngressPeers::hear_limits`] and
+/// [`IngressPeers::assign`].
 pub(crate) const LIMITS: u32 = 6;
-/// Version from which on [`IngressPeers::make_pieces`] and [`IngressPeers::tell_departures`] are known.
-pub(crate) const DEPARTURES: u32 = 7;
+/// First protocol version with [`IngressPeers::make_pieces`] and [`IngressPeers::tell_departures`].
+pub(crate) const DRAIN_PROTOCOL: u32 = 7;
 
-/// Pieces that an instance has made for a peer.
+/// Results of the work items that an instance has processed for a peer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Made {
-    /// The results, in the order of the pieces.
+pub(crate) struct ItemResults {
+    /// The results, in the order of the items.
     pub(crate) results: Vec<PieceResult>,
-    /// Their makers that leave. Whoever passes their results on is bound by that too, also where it then loses
-    /// touch with all others.
+    /// Drain notices of the targets that made the results. The caller receives them with the results, so that
+    /// it also knows of them if it then loses its connections to all peers.
     #[serde(default)]
     pub(crate) departures: Vec<Departure>,
 }
 
-/// What an instance tells of itself whenever it is asked whether it is there.
+/// Response to a health check between instances.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Standing {
-    /// Version of the configuration that it has in force.
+    /// Version of its active configuration.
     pub(crate) version: Version,
-    /// Services that it batches, with the time that a stage takes there, in milliseconds.
+    /// Services that it batches, with the time that a stage takes, in milliseconds.
     #[serde(default)]
     pub(crate) stage_times: Vec<(Name, Millis)>,
-    /// The load of the same services.
+    /// Load of these services.
     #[serde(default)]
     pub(crate) stage_loads: Vec<(Name, StageLoad)>,
 }
 
-/// A prompt for which an instance asks for a target.
+/// A prompt for which an instance requests a target.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct PromptAsk {
     /// Work, in tokens.
     pub(crate) work: f64,
-    /// Part of the work that a cached prefix saves.
+    /// Work that a cached prefix saves, in tokens.
     pub(crate) prefix_work: f64,
     /// Hash of the prefix.
     pub(crate) prefix: u64,
-    /// Targets that the instance does not want.
+    /// Targets that must not be chosen.
     pub(crate) avoided: Vec<TargetId>,
-    /// Name of the policy of a trial's arm, if the request falls to one.
+    /// Name of the policy of the trial's arm that the request is assigned to, if any.
     #[serde(default)]
     pub(crate) policy: Option<Name>,
-    /// Bytes that the target fetches, by the failure domain that they lie in.
+    /// Bytes that the target fetches, by the failure domain that stores them.
     #[serde(default)]
     pub(crate) inputs: Vec<(Name, u64)>,
-    /// Regions that its request is confined to.
+    /// Regions that the request is confined to.
     #[serde(default, skip_serializing_if = "Confinement::is_free")]
     pub(crate) confinement: Confinement,
 }
 
 impl PromptAsk {
-    /// The call of the prompt, whose targets are within some bounds, by the instance that places it for all.
+    /// The routing call for this prompt, limited to targets within `within`.
     pub(crate) fn call<'a>(&'a self, within: Option<&'a Bounds>) -> Call<'a> {
         Call {
             work: self.work,
@@ -123,48 +123,51 @@
     }
 }
 
-/// What ingress instances ask of each other.
+/// Calls between ingress instances.
 #[tarpc::service]
 pub(crate) trait IngressPeers {
-    /// Makes pieces of a service's stage.
+    /// Processes work items of a service's stage.
     async fn make(service: Name, asks: Vec<PieceAsk>) -> Vec<PieceResult>;
-    /// The same, with more in the answer.
-    async fn make_pieces(service: Name, asks: Vec<PieceAsk>) -> Made;
-    /// Takes in which targets have said that they leave, and tells those that this instance knows.
+    /// Like `make`, and returns drain notices too.
+    async fn make_pieces(service: Name, asks: Vec<PieceAsk>) -> ItemResults;
+    /// Applies drain notices of targets, and returns those that this instance knows.
     async fn tell_departures(news: Vec<Departure>) -> Vec<Departure>;
-    /// Chooses the target of a service that reads a prompt.
+    /// Chooses the target of a service for a prompt.
     async fn place(service: Name, prompt: PromptAsk) -> Option<TargetId>;
-    /// Gives up results of a service's stage.
+    /// Releases results of a service's stage.
     async fn give_up(service: Name, handles: Vec<String>);
-    /// Says that the instance is there, and which configuration it has. The asker at this address
-    /// has the configuration of this version.
+    /// Returns the version of the active configuration. `known` is the version that the caller has, `address`
+    /// the caller's address.
     async fn ping(known: Version, address: String) -> Version;
-    /// The same as `ping`, with more in the answer.
+    /// Like `ping`, and returns the load of the services that the instance batches too.
     async fn check(known: Version, address: String) -> Standing;
-    /// Lends places of a service, which the asker's region cannot serve in time, to its owner there.
+    /// Lends capacity slots of a service to its owner in the caller's region, which cannot serve all requests in
+    /// time.
     async fn lend(service: Name, wanted: u32) -> Lease;
-    /// Takes places that this instance has borrowed of a service in another region; how long the stage
-    /// takes there, in milliseconds.
+    /// Takes slots that this instance has borrowed from a service in another region. Returns the time that the
+    /// stage takes there, in milliseconds, or `None` if too few slots are left.
     async fn borrow(service: Name, region: Name, places: u32) -> Option<Millis>;
-    /// Takes in what an instance has seen of a roll-out, and tells where it stands.
+    /// Reports what an instance has observed of a roll-out to its driver, and returns the state of the
+    /// roll-out.
     async fn roll_out(service: Name, report: RolloutReport) -> DriverAnswer;
-    /// Tells the judge of a service what an instance has seen of requests that end their targets.
+    /// Reports observations of requests that crash their targets to the service's judge, which decides on
+    /// quarantines.
     async fn report_runs(reports: Vec<RunReport>);
-    /// Tells an instance what was found of such requests.
+    /// Sends quarantine verdicts to an instance.
     async fn tell_verdicts(verdicts: Vec<Verdict>);
-    /// Asks whoever keeps the account of a target's limit to let a request through. The asker tells what it
-    /// knows of the limit.
+    /// Asks the owner of a target's rate-limit state to admit a request. `known` is what the caller knows of the
+    /// limit.
     async fn take_slot(known: LimitNews) -> Slot;
-    /// Takes in what targets have named as their limits.
+    /// Receives rate limits that targets have reported.
     async fn hear_limits(news: Vec<LimitNews>);
-    /// Chooses the target that reads a prompt, and lets the prompt through to it; the request can wait so many
-    /// milliseconds.
+    /// Chooses the target for a prompt, and admits the prompt there. `patience_ms` is the longest time that the
+    /// request can wait for that.
     async fn assign(service: Name, prompt: PromptAsk, patience_ms: Millis) -> Assignment;
-    /// Tells what is new to an asker who knows so much; waits for a while until something is.
+    /// Returns what has changed since the state that `known` describes; waits for a while if nothing has.
     async fn follow(known: Known) -> Update;
 }
 
-/// What stands in a frame in which a peer asks something; an error tells why it cannot be read.
+/// Decodes the frame of a request to JSON.
 pub(super) fn read_request(frame: &[u8]) -> io::Result<serde_json::Value> {
     match read(frame)? {
         ClientMessage::Request(it) => Ok(serde_json::to_value::<IngressPeersRequest>(it.message)?),
@@ -172,7 +175,7 @@
     }
 }
 
-/// The same for a frame in which a peer answers.
+/// Decodes the frame of a response to JSON.
 pub(super) fn read_answer(frame: &[u8]) -> io::Result<serde_json::Value> {
     let answer: Response<IngressPeersResponse> = read(frame)?;
     let message = answer.message.map_err(|it| io::Error::other(it.to_string()))?;
@@ -221,16 +224,16 @@
         context: context::Context,
         service: Name,
         asks: Vec<PieceAsk>,
-    ) -> Made {
+    ) -> ItemResults {
         let shared = self.shared.clone();
         let results = self.make(context, service, asks).await;
-        let made = results.iter().flatten().filter_map(|it| stages::maker(it));
-        let departures = departures::of_makers(&shared, made);
-        Made { results, departures }
+        let makers = results.iter().flatten().filter_map(|it| stages::maker(it));
+        let departures = departures::notices_for(&shared, makers);
+        ItemResults { results, departures }
     }
 
     async fn tell_departures(self, _: context::Context, news: Vec<Departure>) -> Vec<Departure> {
-        departures::take_news(&self.shared, news)
+        departures::exchange_notices(&self.shared, news)
     }
 
     async fn place(
@@ -239,7 +242,7 @@
         service: Name,
         prompt: PromptAsk,
     ) -> Option<TargetId> {
-        // An asker of an earlier build asks nobody else whether the target takes one more.
+        // A caller that uses `place` checks no rate limits, so the prompt is admitted here.
         match limits::assign(&self.shared, &service, prompt, 0).await {
             Assignment::To { target, .. } => Some(target),
             Assignment::Wait(_) | Assignment::Later { .. } | Assignment::Nowhere => None,
@@ -269,11 +272,11 @@
     }
 
     async fn ping(self, _: context::Context, known: Version, address: String) -> Version {
-        let in_force = self.shared.configuration().version;
-        if in_force < known {
+        let active = self.shared.configuration().version;
+        if active < known {
             tokio::spawn(catch_up(self.shared, address));
         }
-        in_force
+        active
     }
 
     async fn check(self, context: context::Context, known: Version, address: String) -> Standing {
@@ -319,9 +322,9 @@
     }
 }
 
-/// Frames of a connection between peers.
+/// Codec for the length-delimited frames of a connection between peers.
 pub(crate) fn codec() -> tarpc::tokio_util::codec::length_delimited::Builder {
     let mut builder = LengthDelimitedCodec::builder();
-    builder.max_frame_length(MAX_FRAME);
+    builder.max_frame_length(MAX_FRAME_BYTES);
     builder
 }
--- a/crates/holdpointd/src/ingress/peers.rs
+++ b/crates/holdpointd/src/ingress/peers.rs
@@ -1,6 +1,6 @@
-//! The peers of an instance: who they are, and what they are asked: pieces from the one that batches
-//! them, targets from the one that places prompts, state while the store does not answer.
-//! [`super::links`] knows which of them answer.
+//! The peers of an instance, and the calls to them: work items go to the peer that batches a service, prompts to
+//! the one that chooses targets; state comes from peers that follow or read the store.
+//! [`super::links`] tracks which peers respond.
 
 mod calls;
 mod view;
@@ -29,64 +29,64 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ingress::{
-    links::Links, packed::peer_hash, peer_service::CONFINES, shared::IngressShared,
+    links::Links, packed::peer_hash, peer_service::CONFINEMENT_PROTOCOL, shared::IngressShared,
 };
 
 use self::view::View;
 pub(crate) use self::{calls::make_anywhere, view::Leaders};
 
-/// How long a peer of the own region may take to choose a target; after that it is chosen here.
+/// Time limit for a peer of the same region to choose a target; after that, this instance chooses it.
 pub(crate) const PLACE_LIMIT: Duration = Duration::from_millis(60);
 
-/// Among whom the owner of a service is chosen.
+/// Set of instances that the owner of a service is chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Owners<'a> {
     /// All instances.
     Any,
-    /// Those of a region.
+    /// Instances of one region.
     Of(&'a str),
 }
 
-/// Peers that know what the store says, in the order in which this instance asks them.
+/// Sources of the store's state for this instance, in order of preference, and its own role.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sources {
-    /// Whether this instance reads the store for others.
+    /// Whether this instance reads the store for the others.
     pub(crate) is_reader: bool,
-    /// Whether it passes on to others what readers tell.
+    /// Whether this instance relays updates from readers to others.
     pub(crate) is_relay: bool,
-    /// Addresses of those that it follows.
+    /// Addresses of the peers that it follows.
     pub(crate) asked: Vec<String>,
-    /// Addresses of those that read the store.
+    /// Addresses of the peers that read the store.
     pub(crate) readers: Vec<String>,
-    /// How long this instance waits, where none of them has read it, before it reads by itself.
+    /// Delay before this instance reads the store itself if none of the peers that it follows has read it.
     pub(crate) patience: Duration,
 }
 
-/// A peer, as its entry in the store describes it.
+/// A peer as described by its entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Peer {
-    /// IP number and port of its RPC.
+    /// IP address and port of its RPC server.
     pub(crate) address: String,
-    /// Identifies one life of its process.
+    /// Id of the incarnation of its process.
     pub(crate) life: String,
-    /// What it may use of its machine.
+    /// Processor and link capacity that it may use.
     #[serde(default)]
     pub(crate) capacity: Capacity,
     /// Version of the protocol that it speaks.
     #[serde(default)]
     pub(crate) protocol: u32,
-    /// Failure domain that it stands in; empty where it does not tell.
+    /// Its failure domain; empty if not stated.
     #[serde(default)]
     pub(crate) domain: Name,
-    /// Its round trip to the store in milliseconds, as it measured it at its start.
+    /// Its round-trip time to the store in milliseconds, measured at its start.
     #[serde(default)]
     pub(crate) store_ms: Option<Millis>,
 }
 
 impl Peer {
-    /// Its entry in the store: its address, the life of its process, its processor in thousandths of a
-    /// core, its link in Mbit/s, the protocol it speaks, its failure domain and its round trip to the
-    /// store in milliseconds, with blanks between.
+    /// Formats its entry in the store: address, id of the incarnation, processor in millicores, link in
+    /// Mbit/s, protocol version, failure domain and round-trip time to the store in milliseconds (0 if not
+    /// measured), separated by spaces.
     pub(crate) fn entry(&self) -> String {
         let Peer { address, life, capacity, protocol, domain, store_ms } = self;
         let Capacity { millicores, link_mbps } = capacity;
@@ -94,16 +94,16 @@
         format!("{address} {life} {millicores} {link_mbps} {protocol} {domain} {store_ms}")
     }
 
-    /// Reads an entry. Those of earlier versions end after the life of the process or later.
+    /// Parses an entry; `None` without a valid address. Entries of earlier versions lack fields at the end.
     pub(crate) fn parse(entry: &[u8]) -> Option<Peer> {
         let mut fields = std::str::from_utf8(entry).ok()?.split(' ');
-        // An entry of another writer must not become an instance that others wait for.
+        // A foreign entry must not become an instance that others wait for.
         let address = fields.next().filter(|it| it.parse::<SocketAddr>().is_ok())?.to_owned();
         let life = fields.next().unwrap_or_default().to_owned();
-        // What is not stated counts as nothing, so that those who state more are preferred.
-        let mut figure = || fields.next().and_then(|it| it.parse().ok()).unwrap_or(0);
-        let capacity = Capacity { millicores: figure(), link_mbps: figure() };
-        let protocol = figure();
+        // A missing number counts as 0, so that instances that state it are preferred.
+        let mut number = || fields.next().and_then(|it| it.parse().ok()).unwrap_or(0);
+        let capacity = Capacity { millicores: number(), link_mbps: number() };
+        let protocol = number();
         let domain = fields.next().unwrap_or_default().to_owned();
         let store_ms = fields.next().and_then(|it| it.parse().ok()).filter(|it| *it != 0);
         Some(Peer { address, life, capacity, protocol, domain, store_ms })
@@ -120,24 +120,24 @@
     seeds: Vec<String>,
     is_seed: bool,
     known: Mutex<HashMap<Name, Peer>>,
-    /// Sum of the hashes of all that are known.
+    /// Sum of the hashes of all known peers.
     digest: AtomicU64,
-    /// Rises whenever a peer changes.
+    /// Increases whenever a peer or another input of the view changes.
     revision: AtomicU64,
     view: ArcSwap<View>,
     pub(crate) links: Links,
-    /// Round trip of this instance to the store, in milliseconds; 0 where it was not measured.
+    /// Round-trip time of this instance to the store, in milliseconds; 0 if not measured.
     own_store_ms: AtomicU64,
-    /// Whether the peers were read from the store, or told by one who knows them.
+    /// Whether the peers were read from the store, or received from an instance that knows them.
     were_read: AtomicBool,
-    /// Number of instances by failure domain, as told at the start.
-    told_sizes: Mutex<DomainSizes>,
-    /// Whether this instance is about to stop and batches for nobody any more.
+    /// Number of instances by failure domain, as received at the start.
+    reported_sizes: Mutex<DomainSizes>,
+    /// Whether this instance is draining and no longer owns services.
     is_leaving: AtomicBool,
 }
 
 impl Peers {
-    /// Makes the peers of an instance that knows none yet.
+    /// Creates the state of an instance that knows no peers yet.
     pub(crate) fn new(settings: &IngressSettings) -> Peers {
         let is_other = |it: &&String| **it != settings.listen.peers;
         Peers {
@@ -155,17 +155,17 @@
             links: Links::default(),
             own_store_ms: AtomicU64::new(0),
             were_read: AtomicBool::new(false),
-            told_sizes: Mutex::default(),
+            reported_sizes: Mutex::default(),
             is_leaving: AtomicBool::new(false),
         }
     }
 
-    /// Takes in that this instance is about to stop.
+    /// Marks this instance as draining.
     pub(crate) fn leave(&self) {
         self.is_leaving.store(true, Ordering::Release);
     }
 
-    /// Takes in a peer, or that it has left; whether that is new.
+    /// Sets a peer, or removes it where `peer` is `None`; returns whether anything changed.
     pub(crate) fn set(&self, name: &str, peer: Option<Peer>) -> bool {
         if name == self.own_name {
             return false;
@@ -180,66 +180,68 @@
         self.digest.store(digest, Ordering::Release);
         self.revision.fetch_add(1, Ordering::AcqRel);
         let Some(peer) = peer else { return known.remove(name).is_some() };
-        // Whoever was silent at this address has started anew.
+        // A new entry means a new process at this address, so earlier timeouts no longer count.
         self.links.trust(&peer.address);
         known.insert(name.to_owned(), peer);
         true
     }
 
-    /// Sum of the hashes of all peers, this instance left out.
+    /// Sum of the hashes of all peers, without this instance.
     pub(crate) fn digest(&self) -> u64 {
         self.digest.load(Ordering::Acquire)
     }
 
-    /// All peers by name, this instance left out.
+    /// All peers by name, without this instance.
     pub(crate) fn all(&self) -> Vec<(Name, Peer)> {
         self.known.lock().iter().map(|(name, it)| (name.clone(), it.clone())).collect()
     }
 
-    /// Number of instances, this one included.
+    /// Number of instances, including this one.
     pub(crate) fn instance_count(&self) -> usize {
-        let told = self.told_sizes().values().sum();
-        (self.known.lock().len() + 1).max(told)
+        let reported = self.reported_sizes().values().sum();
+        (self.known.lock().len() + 1).max(reported)
     }
 
-    /// Takes in that the peers are known as the store has them.
+    /// Records that the list of peers is complete: read from the store, or received from an instance that knows
+    /// it.
     pub(crate) fn note_read(&self) {
         if !self.were_read.swap(true, Ordering::AcqRel) {
             self.revision.fetch_add(1, Ordering::AcqRel);
         }
     }
 
-    /// Whether the peers are known as the store has them, or had them at some time.
+    /// Whether the list of peers has been complete once. It may be outdated.
     pub(crate) fn were_read(&self) -> bool {
         self.were_read.load(Ordering::Acquire)
     }
 
-    /// Addresses of seeds, this instance left out.
+    /// Addresses of the seeds, without this instance.
     pub(crate) fn seeds(&self) -> &[String] {
         &self.seeds
     }
 
-    /// Whether others have this instance's address as a seed, as far as it can tell from its own.
+    /// Whether this instance is candidates the seeds of its own settings.
     pub(crate) fn is_seed(&self) -> bool {
         self.is_seed
     }
 
-    /// Takes in the round trip of this instance to the store.
+    /// Sets the round-trip time of this instance to the store, in milliseconds.
     pub(crate) fn note_store_trip(&self, ms: Millis) {
         self.own_store_ms.store(ms, Ordering::Release);
     }
 
-    /// Round trip of this instance to the store, in milliseconds.
+    /// Round-trip time of this instance to the store, in milliseconds; `None` if not measured.
     pub(crate) fn store_ms(&self) -> Option<Millis> {
         Some(self.own_store_ms.load(Ordering::Acquire)).filter(|it| *it != 0)
     }
 
-    /// Whom this instance asks for what the store says.
+    /// The peers that this instance gets the store's state from.
     pub(crate) fn sources(&self) -> Sources {
         self.view().sources.clone()
     }
 
-    /// Addresses of all peers and seeds: those that answer first, and of these the near ones.
+    /// Addresses of all peers and seeds: responsive ones first, then those of the same region. Seeds that are
+    /// not known as peers count as remote.
     pub(crate) fn to_ask(&self, topology: &Topology) -> Vec<String> {
         let mut is_far: HashMap<String, bool> =
             self.seeds.iter().map(|it| (it.clone(), true)).collect();
@@ -253,15 +255,15 @@
         addresses.into_iter().map(|it| it.0).collect()
     }
 
-    /// Names of the instances that work for others, this one included unless it is leaving.
-    fn live<'a>(&'a self, known: &'a HashMap<Name, Peer>) -> impl Iterator<Item = &'a str> {
+    /// Names of the responsive instances, including this one unless it is draining.
+    fn responsive<'a>(&'a self, known: &'a HashMap<Name, Peer>) -> impl Iterator<Item = &'a str> {
         let others = known.iter().filter(|it| !self.links.is_suspect(&it.1.address));
         let own = Some(self.own_name.as_str()).filter(|_| !self.is_leaving.load(Ordering::Acquire));
         others.map(|it| it.0.as_str()).chain(own)
     }
 
-    /// The peer that batches a service's pieces, and places its prompts, among some instances; `None`
-    /// where this instance does.
+    /// Address of the peer candidates `owners` that batches a service's work items and chooses targets for its
+    /// prompts; `None` if this instance does.
     pub(crate) fn batcher_of(&self, owners: Owners<'_>, service: &str) -> Option<String> {
         if self.batching == Batching::Own {
             return None;
@@ -269,13 +271,13 @@
         self.owner_of(owners, service)
     }
 
-    /// Address of the peer that does under a key what one of some instances does for all; `None` where
-    /// this instance does.
+    /// Address of the owner of a key candidates `owners`, chosen by rendezvous hashing; `None` if it is this
+    /// instance.
     pub(crate) fn owner_of(&self, owners: Owners<'_>, key: &str) -> Option<String> {
         self.owner_since(0, owners, key)
     }
 
-    /// The same among those that speak a version of the protocol or a later one.
+    /// Like [`Peers::owner_of`], candidates instances with at least the given protocol version.
     pub(crate) fn owner_since(
         &self,
         protocol: u32,
@@ -283,45 +285,46 @@
         key: &str,
     ) -> Option<String> {
         let view = self.view();
-        let among = match owners {
+        let candidates = match owners {
             Owners::Any => &view.owners[..],
             Owners::Of(region) => view.regions.get(region).map_or(&[][..], |it| it.as_slice()),
         };
-        let among = among.iter().filter(|it| protocol <= it.protocol);
-        among.max_by_key(|it| (weight(key, &it.name), &it.name))?.address.clone()
+        let candidates = candidates.iter().filter(|it| protocol <= it.protocol);
+        candidates.max_by_key(|it| (weight(key, &it.name), &it.name))?.address.clone()
     }
 
-    /// Whether the peer at an address stands within some bounds, and keeps work there.
+    /// Whether the peer at an address is within `within` and keeps confined work within its regions.
     pub(crate) fn is_confined_to(&self, address: &str, within: &Bounds) -> bool {
         let known = self.known.lock();
-        let keeps = |it: &Peer| CONFINES <= it.protocol && within.allows(&it.domain);
+        let keeps = |it: &Peer| CONFINEMENT_PROTOCOL <= it.protocol && within.allows(&it.domain);
         let mut its = known.values().filter(|it| it.address == address).peekable();
         its.peek().is_some() && its.all(keeps)
     }
 
-    /// Of the instances that may do for others what one does for all, how many answer as far as is known, and
-    /// how many there are. Others may still reach those that do not.
+    /// Number of responsive instances candidates those that may be owners, and number of all of these. Unresponsive
+    /// ones may still be reachable by other instances.
     pub(crate) fn owners_reached(&self) -> (usize, usize) {
         self.view().owners_reached
     }
 
-    /// Whether this instance is about to stop.
+    /// Whether this instance is draining.
     pub(crate) fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
-    /// Whether an instance that answers stands in a region.
+    /// Whether a region has a responsive instance.
     pub(crate) fn has_live_in(&self, region: &str) -> bool {
         self.view().regions.contains_key(region)
     }
 
-    /// Number of instances in this one's region, itself included.
+    /// Number of instances in the region of this instance, including itself.
     pub(crate) fn near_count(&self) -> usize {
         let known = self.known.lock();
         1 + known.values().filter(|it| self.topology.is_near(&it.domain)).count()
     }
 
-    /// Region of an instance; `None` where it is not known.
+    /// Region of a peer, or of this instance for a name that is not a peer's; `None` if the domain has no
+    /// known region.
     fn region_of<'a>(&'a self, known: &HashMap<Name, Peer>, name: &str) -> Option<&'a str> {
         match known.get(name) {
             Some(it) => self.topology.region_of(&it.domain),
@@ -329,7 +332,7 @@
         }
     }
 
-    /// Whether a peer is known to stand in another region.
+    /// Whether a peer is known to be in another region.
     pub(crate) fn is_far(&self, address: &str) -> bool {
         let known = self.known.lock();
         let found = known.values().find(|it| it.address == address);
@@ -337,32 +340,33 @@
         domain.is_some_and(|it| !self.topology.is_near(it))
     }
 
-    /// Address of an instance that works for others, this one left out; `None` where it does not.
+    /// Address of a peer by name; `None` if it is unknown or unresponsive.
     pub(crate) fn live_address(&self, name: &str) -> Option<String> {
         let address = self.known.lock().get(name).map(|it| it.address.clone())?;
         (!self.links.is_suspect(&address)).then_some(address)
     }
 
-    /// Whether a life of an instance works for others, this one left out.
+    /// Whether an incarnation of a peer is the known one and responsive.
     pub(crate) fn is_life(&self, name: &str, life: &str) -> bool {
         let known = self.known.lock();
         known.get(name).is_some_and(|it| it.life == life && !self.links.is_suspect(&it.address))
     }
 
-    /// Keeps a connection to a peer, over which the two tell each other of later configurations.
+    /// Opens a connection to a peer, or uses the one that is open. Its health checks exchange the versions of
+    /// the configuration.
     pub(crate) async fn watch(&self, shared: &Arc<IngressShared>, address: &str) {
-        // A peer that cannot be reached is passed over for a while.
+        // The links mark an unreachable peer as suspect.
         drop(self.links.get(shared, address).await);
     }
 
-    /// Version of the protocol that the peer at an address speaks; 0 where it is not known.
+    /// Protocol version of the peer at an address; 0 if the peer is unknown.
     pub(crate) fn protocol_of(&self, address: &str) -> u32 {
         let known = self.known.lock();
         known.values().find(|it| it.address == address).map_or(0, |it| it.protocol)
     }
 }
 
-/// What this instance may use of its machine, as its settings state it.
+/// Capacity that this instance may use of its machine, according to its settings.
 pub(crate) fn own_capacity(settings: &IngressSettings) -> Capacity {
     let machine = &settings.machine;
     Capacity {
--- a/crates/holdpointd/src/ingress/peers/calls.rs
+++ b/crates/holdpointd/src/ingress/peers/calls.rs
@@ -1,4 +1,4 @@
-//! What peers are asked and told: pieces, targets, places, whether a target takes one more, news.
+//! Calls to peers: work items, choice of targets, capacity leases, rate limits, notices and updates.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
     limits::Assignment,
     links::{PeerSilent, context_for},
     news::{Known, Update},
-    peer_service::{DEPARTURES, IngressPeersClient, LENDING, PromptAsk},
+    peer_service::{DRAIN_PROTOCOL, IngressPeersClient, LENDING_PROTOCOL, PromptAsk},
     piece_ask::{PieceAsk, PieceResult},
     quarantine::RunReport,
     regions::owner_of,
@@ -28,17 +28,19 @@
     shared::IngressShared,
 };
 
-/// An answer that may take so long may be large.
-const LARGE_LIMIT: Duration = Duration::from_millis(1000);
-/// How long a peer may take to release results.
-const RELEASE_LIMIT: Duration = Duration::from_millis(350);
-/// How long a peer may take to take in what concerns requests that end their targets.
-const VERDICT_LIMIT: Duration = Duration::from_millis(500);
-/// How long the driver of a roll-out may take to answer; what it last told holds for longer.
-const ROLL_OUT_LIMIT: Duration = Duration::from_millis(300);
+/// Time limit of a call from which on its response may be large, so that its connection is given more time
+/// before it counts as lost.
+const LARGE_RESPONSE_LIMIT: Duration = Duration::from_millis(1000);
+/// Time limit for a peer to accept a release of results.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(350);
+/// Time limit for a peer to accept reports, verdicts and notices.
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit for the driver of a roll-out to answer. Its previous answer stays valid for longer.
+const ROLLOUT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Peers {
-    /// Has a peer make pieces. An error means that the peer is silent.
+    /// Has a peer process work items. Returns no results if it does not answer within `limit`, and an error if it
+    /// cannot be reached.
     pub(crate) async fn make(
         self: &Peers,
         shared: &Arc<IngressShared>,
@@ -50,11 +52,11 @@
         let link = self.links.get(shared, address).await?;
         let call = async {
             let (context, service) = (context_for(limit), service.to_owned());
-            if self.protocol_of(address) < DEPARTURES {
+            if self.protocol_of(address) < DRAIN_PROTOCOL {
                 return link.client.make(context, service, asks).await;
             }
             let made = link.client.make_pieces(context, service, asks).await?;
-            departures::take_all(shared, made.departures);
+            departures::apply_notices(shared, made.departures);
             Ok(made.results)
         };
         let answer = tokio::select! {
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Asks a peer for the target that reads a prompt; `None` where it does not answer at once.
+    /// Asks a peer to choose the target for a prompt; `None` if it has none or does not answer within `limit`.
     pub(crate) async fn place(
         &self,
         shared: &Arc<IngressShared>,
@@ -87,8 +89,8 @@
         tokio::time::timeout(limit, asked).await.ok()?
     }
 
-    /// Asks a peer for the target that reads a prompt, which is let through to it; `None` where it does not
-    /// answer at once.
+    /// Asks a peer to choose the target for a prompt and to admit the prompt there; `None` if it does not answer
+    /// within `limit`.
     pub(crate) async fn assign(
         &self,
         shared: &Arc<IngressShared>,
@@ -106,8 +108,8 @@
         tokio::time::timeout(limit, asked).await.ok()?
     }
 
-    /// Asks a peer that keeps the account of a target's limit to let a request through; `None` where it does
-    /// not answer at once.
+    /// Asks a peer that owns the rate-limit state of a target to admit a request; `None` if it does not answer
+    /// in time.
     pub(crate) async fn take_slot(
         &self,
         shared: &Arc<IngressShared>,
@@ -122,7 +124,7 @@
         tokio::time::timeout(limit, asked).await.ok()?
     }
 
-    /// Tells a peer what targets have named as their limits.
+    /// Sends a peer the rate limits that targets have reported.
     pub(crate) async fn hear_limits(
         &self,
         shared: &Arc<IngressShared>,
@@ -131,24 +133,25 @@
     ) -> Result<(), PeerSilent> {
         let call =
             async |client: &IngressPeersClient, context| client.hear_limits(context, news).await;
-        self.tell(shared, address, VERDICT_LIMIT, call).await
+        self.notify(shared, address, NOTIFY_TIMEOUT, call).await
     }
 
-    /// Tells a peer which targets have said that they leave; returns those that it knows.
-    pub(crate) async fn tell_departures(
+    /// Sends drain notices of targets to a peer; returns those that the peer knows.
+    pub(crate) async fn send_drain_notices(
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
-        news: Vec<Departure>,
+        notices: Vec<Departure>,
     ) -> Result<Vec<Departure>, PeerSilent> {
         let link = self.links.get(shared, address).await?;
-        let limit = self.links.with_distance(address, VERDICT_LIMIT);
-        let told = link.client.tell_departures(context_for(limit), news);
-        let told = tokio::time::timeout(limit, told).await;
-        told.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)
+        let limit = self.links.with_distance(address, NOTIFY_TIMEOUT);
+        let sent = link.client.tell_departures(context_for(limit), notices);
+        let sent = tokio::time::timeout(limit, sent).await;
+        sent.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)
     }
 
-    /// Asks the owner of a service in another region for places; `None` where it does not answer.
+    /// Asks the owner of a service in another region for capacity slots; `None` if it does not answer or does not
+    /// support leases.
     pub(crate) async fn lend(
         &self,
         shared: &Arc<IngressShared>,
@@ -157,7 +160,7 @@
         wanted: u32,
         limit: Duration,
     ) -> Option<Lease> {
-        if self.protocol_of(address) < LENDING {
+        if self.protocol_of(address) < LENDING_PROTOCOL {
             return None;
         }
         let link = self.links.get(shared, address).await.ok()?;
@@ -165,7 +168,8 @@
         tokio::time::timeout(limit, asked).await.ok()?.ok()
     }
 
-    /// Takes places that a peer has borrowed of a service in another region; `None` where it has none.
+    /// Takes slots that a peer has borrowed from a service in another region. Returns the time that the stage takes
+    /// there, in milliseconds; `None` if the peer has too few slots or does not answer.
     pub(crate) async fn borrow(
         &self,
         shared: &Arc<IngressShared>,
@@ -174,14 +178,14 @@
         places: u32,
         limit: Duration,
     ) -> Option<Millis> {
-        if self.protocol_of(address) < LENDING {
+        if self.protocol_of(address) < LENDING_PROTOCOL {
             return None;
         }
         let link = self.links.get(shared, address).await.ok()?;
         link.client.borrow(context_for(limit), service, region, places).await.ok()?
     }
 
-    /// Tells the driver of a roll-out what this instance has seen; `None` where it does not answer.
+    /// Sends the driver of a roll-out the observations of this instance; `None` if it does not answer.
     pub(crate) async fn roll_out(
         &self,
         shared: &Arc<IngressShared>,
@@ -191,12 +195,16 @@
     ) -> Option<DriverAnswer> {
         let asked = async {
             let link = self.links.get(shared, address).await.ok()?;
-            link.client.roll_out(context_for(ROLL_OUT_LIMIT), service.to_owned(), report).await.ok()
+            link.client
+                .roll_out(context_for(ROLLOUT_TIMEOUT), service.to_owned(), report)
+                .await
+                .ok()
         };
-        tokio::time::timeout(ROLL_OUT_LIMIT, asked).await.ok()?
+        tokio::time::timeout(ROLLOUT_TIMEOUT, asked).await.ok()?
     }
 
-    /// Tells the judge of a service what this instance has seen of requests that end their targets.
+    /// Sends observations of requests that crash their targets to the service's judge, which decides on
+    /// quarantines.
     pub(crate) async fn report_runs(
         &self,
         shared: &Arc<IngressShared>,
@@ -205,10 +213,10 @@
     ) -> Result<(), PeerSilent> {
         let call =
             async |client: &IngressPeersClient, context| client.report_runs(context, reports).await;
-        self.tell(shared, address, VERDICT_LIMIT, call).await
+        self.notify(shared, address, NOTIFY_TIMEOUT, call).await
     }
 
-    /// Tells a peer what was found of such requests.
+    /// Sends quarantine verdicts to a peer.
     pub(crate) async fn tell_verdicts(
         &self,
         shared: &Arc<IngressShared>,
@@ -218,10 +226,10 @@
         let call = async |client: &IngressPeersClient, context| {
             client.tell_verdicts(context, verdicts).await
         };
-        self.tell(shared, address, VERDICT_LIMIT, call).await
+        self.notify(shared, address, NOTIFY_TIMEOUT, call).await
     }
 
-    /// Has a peer give up results.
+    /// Has a peer release results.
     pub(crate) async fn give_up(
         &self,
         shared: &Arc<IngressShared>,
@@ -233,11 +241,11 @@
         let call = async |client: &IngressPeersClient, context| {
             client.give_up(context, service, handles).await
         };
-        self.tell(shared, address, RELEASE_LIMIT, call).await
+        self.notify(shared, address, RELEASE_TIMEOUT, call).await
     }
 
-    /// Tells a peer something; its distance is added to the time that this may take.
-    async fn tell(
+    /// Makes a call without a result; an allowance for the peer's round-trip time is added to `limit`.
+    async fn notify(
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
@@ -246,11 +254,11 @@
     ) -> Result<(), PeerSilent> {
         let link = self.links.get(shared, address).await?;
         let limit = self.links.with_distance(address, limit);
-        let told = tokio::time::timeout(limit, call(&link.client, context_for(limit))).await;
-        told.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)
+        let sent = tokio::time::timeout(limit, call(&link.client, context_for(limit))).await;
+        sent.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)
     }
 
-    /// Asks a peer what is new; the answer may take `limit`, its distance left aside.
+    /// Asks a peer for updates; an allowance for its round-trip time is added to `limit`.
     pub(crate) async fn follow(
         &self,
         shared: &Arc<IngressShared>,
@@ -259,7 +267,7 @@
         limit: Duration,
     ) -> Result<Update, PeerSilent> {
         let link = self.links.get(shared, address).await?;
-        let _large = (LARGE_LIMIT <= limit).then(|| link.expect_large());
+        let _large = (LARGE_RESPONSE_LIMIT <= limit).then(|| link.expect_large());
         let limit = self.links.with_distance(address, limit);
         let call = tokio::time::timeout(limit, link.client.follow(context_for(limit), known));
         tokio::select! {
@@ -269,7 +277,8 @@
     }
 }
 
-/// Has pieces made by the instance that batches them in a region, or here if none can be reached.
+/// Has work items processed by the instance that batches them in a region, or by this instance if none can be
+/// reached. Returns one result for each item.
 pub(crate) async fn make_anywhere(
     shared: &Arc<IngressShared>,
     region: &str,
--- a/crates/holdpointd/src/ingress/peers/view.rs
+++ b/crates/holdpointd/src/ingress/peers/view.rs
@@ -1,5 +1,5 @@
-//! What follows from which instances live: who owns services, whom this instance follows, whom one who starts has
-//! to know.
+//! View of the responsive instances: the candidates for owners of services, the sources that this instance
+//! follows, and the leaders that a starting instance has to know. Cached until one of its inputs changes.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -18,17 +18,17 @@
 use super::{Peer, Peers, Sources};
 use crate::ingress::peer_service::PROTOCOL;
 
-/// An instance that may do for others what one does for all.
+/// An instance that may own services.
 #[derive(Clone, Debug)]
 pub(super) struct Owner {
     pub(super) name: Name,
-    /// Its address; none of this instance itself.
+    /// Its address; `None` for this instance.
     pub(super) address: Option<String>,
-    /// Version of the protocol that it speaks.
+    /// Its protocol version.
     pub(super) protocol: u32,
 }
 
-/// What a [`View`] was made of.
+/// Versions of the inputs of a [`View`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Stamp {
     peers: u64,
@@ -37,35 +37,35 @@
     is_leaving: bool,
 }
 
-/// What follows from which instances live.
+/// State derived from the responsive instances.
 #[derive(Debug, Default)]
 pub(super) struct View {
     stamp: Stamp,
-    /// When the next one that is passed over counts again.
+    /// When the next suspect peer is to be tried again, which changes the view.
     until: Option<Instant>,
-    /// The strong ones of all instances, and of each region.
+    /// Strong instances among all.
     pub(super) owners: Vec<Owner>,
+    /// Strong instances of each region.
     pub(super) regions: HashMap<Name, Vec<Owner>>,
     pub(super) sources: Sources,
-    /// How many of the strong ones answer, and how many there are.
+    /// Number of responsive strong instances, and of all strong instances.
     pub(super) owners_reached: (usize, usize),
-    /// Those that one who starts has to know.
+    /// Instances that a starting instance has to know.
     leaders: Vec<Name>,
 }
 
-/// What one who starts has to know of the others.
+/// What a starting instance has to know of the others.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Leaders {
-    /// Instances that may do for others what one does for all, or pass on what is read.
+    /// Instances that may own services or relay the store's state.
     pub(crate) members: Vec<(Name, Peer)>,
     /// Number of instances by failure domain.
     pub(crate) sizes: DomainSizes,
 }
 
 impl Peers {
-    /// What follows from which instances live. It is looked at with each request and each question to
-    /// another instance, and made anew only where something has changed: a look at each of 985 instances
-    /// several times a second was a part of a weak one's processor that grew with the fleet.
+    /// The current view. It is used for each request and each call to a peer, so it is rebuilt only after a
+    /// change: the cost grows with the number of instances.
     pub(super) fn view(&self) -> Arc<View> {
         let (suspects, next) = self.links.suspects_revision();
         let stamp = Stamp {
@@ -79,12 +79,12 @@
         if view.stamp == stamp && view.until.is_none_or(|it| now < it) {
             return view;
         }
-        let view = Arc::new(View { stamp, until: next, ..self.make_view() });
+        let view = Arc::new(View { stamp, until: next, ..self.build_view() });
         self.view.store(view.clone());
         view
     }
 
-    fn make_view(&self) -> View {
+    fn build_view(&self) -> View {
         let known = self.known.lock();
         let own = self.own_name.as_str();
         let (is_split, own_region) = (self.topology.is_split(), self.topology.own_region());
@@ -106,10 +106,10 @@
                 store_ms: it.store_ms,
             },
         };
-        let mut members: Vec<Member<'_>> = self.live(&known).map(member).collect();
+        let mut members: Vec<Member<'_>> = self.responsive(&known).map(member).collect();
         members.sort_unstable_by_key(|it| it.name);
-        let told = self.told_sizes();
-        let plan = plan(own, in_split(own_region), &self.own_domain, &members, &told);
+        let reported = self.reported_sizes();
+        let plan = plan(own, in_split(own_region), &self.own_domain, &members, &reported);
         let addresses = |names: &[&str]| {
             names.iter().filter_map(|it| known.get(*it)).map(|it| it.address.clone()).collect()
         };
@@ -120,9 +120,9 @@
             readers: addresses(&plan.readers),
             patience: Duration::from_millis(plan.patience_ms),
         };
-        let owners = |is_its: &dyn Fn(&str) -> bool| -> Vec<Owner> {
-            let its = members.iter().filter(|it| is_its(it.name));
-            let its: Vec<_> = its.map(|it| (it.name, it.capacity)).collect();
+        let owners = |is_member: &dyn Fn(&str) -> bool| -> Vec<Owner> {
+            let chosen = members.iter().filter(|it| is_member(it.name));
+            let chosen: Vec<_> = chosen.map(|it| (it.name, it.capacity)).collect();
             let owner = |name: &str| {
                 let peer = known.get(name);
                 Owner {
@@ -131,21 +131,21 @@
                     protocol: peer.map_or(PROTOCOL, |it| it.protocol),
                 }
             };
-            strong(&its).into_iter().map(owner).collect()
+            strong(&chosen).into_iter().map(owner).collect()
         };
         let mut regions: HashMap<Name, Vec<Owner>> = HashMap::new();
         let of_members = members.iter().filter_map(|it| self.region_of(&known, it.name));
         for region in of_members.collect::<BTreeSet<_>>() {
-            let is_its = |name: &str| self.region_of(&known, name) == Some(region);
-            regions.insert(region.to_owned(), owners(&is_its));
+            let is_member = |name: &str| self.region_of(&known, name) == Some(region);
+            regions.insert(region.to_owned(), owners(&is_member));
         }
         let all = known.iter().map(|(name, it)| (name.as_str(), it.capacity));
         let all: Vec<_> = all.chain([(own, self.own_capacity)]).collect();
-        let is_silent =
+        let is_suspect_peer =
             |it: &&str| known.get(*it).is_some_and(|it| self.links.is_suspect(&it.address));
         let all = strong(&all);
-        let silent = all.iter().filter(|it| is_silent(it)).count();
-        let owners_reached = (all.len() - silent, all.len());
+        let suspects = all.iter().filter(|it| is_suspect_peer(it)).count();
+        let owners_reached = (all.len() - suspects, all.len());
         let leaders = leaders(&members).into_iter().map(str::to_owned).collect();
         View {
             owners: owners(&|_| true),
@@ -157,23 +157,25 @@
         }
     }
 
-    /// Number of instances by failure domain, as told by one who knows them, until they are known here.
-    pub(super) fn told_sizes(&self) -> DomainSizes {
-        if self.were_read() { DomainSizes::new() } else { self.told_sizes.lock().clone() }
+    /// Number of instances by failure domain, as received at the start; empty once the list of peers is
+    /// complete.
+    pub(super) fn reported_sizes(&self) -> DomainSizes {
+        if self.were_read() { DomainSizes::new() } else { self.reported_sizes.lock().clone() }
     }
 
-    /// Takes in how many instances there are in each failure domain, before all of them are known.
+    /// Sets the number of instances by failure domain, before all of them are known.
     pub(crate) fn tell_sizes(&self, sizes: DomainSizes) {
-        *self.told_sizes.lock() = sizes;
+        *self.reported_sizes.lock() = sizes;
         self.revision.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Whether the leaders are known, by which this instance can tell whom it follows.
+    /// Whether the leaders are known, which this instance needs to choose its sources.
     pub(crate) fn knows_leaders(&self) -> bool {
-        self.were_read() || !self.told_sizes.lock().is_empty()
+        self.were_read() || !self.reported_sizes.lock().is_empty()
     }
 
-    /// The leaders among all instances, for one who starts, and how many there are in each failure domain.
+    /// The leaders among all instances and the number of instances by failure domain, for a starting instance.
+    /// `own` is the entry of this instance.
     pub(crate) fn leaders(&self, own: Option<&Peer>) -> Leaders {
         let view = self.view();
         let known = self.known.lock();
