--- a/crates/holdpointd/src/ingress/changes.rs
+++ b/crates/holdpointd/src/ingress/changes.rs
@@ -1,7 +1,7 @@
 //! Changes of the known targets and peers by one read or message, and their log lines.
 //!
-//! A small number of changes is logged line by line, a large one as a single line with counts. Otherwise
-//! these lines would dominate the log after a restart of all instances.
+//! A small number of changes is logged with one line each, a larger one as a single line with counts, so that
+//! a restart of all instances does not flood the log.
 
 use holdpoint_core::{
     directory::{Change, Directory, TargetId, TargetInstance},
--- a/crates/holdpointd/src/ingress/departures.rs
+++ b/crates/holdpointd/src/ingress/departures.rs
@@ -59,7 +59,7 @@
 
 #[derive(Debug)]
 struct TrackedNotice {
-    departure: Departure,
+    notice: Departure,
     /// When its target was last listed, in milliseconds.
     listed_at: Millis,
     /// Peers, by name and incarnation, that have received the notice.
@@ -67,15 +67,15 @@
 }
 
 impl Departures {
-    fn note(&self, now: Millis, departure: Departure) {
-        let known = TrackedNotice { departure, listed_at: now, receivers: Vec::new() };
-        self.known.lock().insert(known.departure.target.clone(), known);
+    fn note(&self, now: Millis, notice: Departure) {
+        let tracked = TrackedNotice { notice, listed_at: now, receivers: Vec::new() };
+        self.known.lock().insert(tracked.notice.target.clone(), tracked);
     }
 
     /// Known notices, as many as one message holds.
     fn all(&self) -> Vec<Departure> {
         let known = self.known.lock();
-        known.values().take(MAX_NOTICES).map(|it| it.departure.clone()).collect()
+        known.values().take(MAX_NOTICES).map(|it| it.notice.clone()).collect()
     }
 
     /// Removes notices whose targets have not been listed for [`RETENTION_MS`].
@@ -122,9 +122,9 @@
     makers: impl Iterator<Item = &'a str>,
 ) -> Vec<Departure> {
     let makers = makers.filter_map(|it| shared.target_at(it)).filter(|it| it.is_leaving);
-    let mut departures: Vec<Departure> = makers.map(|it| Departure::of(&it)).collect();
-    departures.dedup();
-    departures
+    let mut notices: Vec<Departure> = makers.map(|it| Departure::of(&it)).collect();
+    notices.dedup();
+    notices
 }
 
 /// Sends notices to the readers of the store, until the task is dropped.
@@ -169,8 +169,8 @@
             return;
         };
         for it in notices {
-            if let Some(known) = shared.departures.known.lock().get_mut(&it.target) {
-                known.receivers.push(incarnation.clone());
+            if let Some(tracked) = shared.departures.known.lock().get_mut(&it.target) {
+                tracked.receivers.push(incarnation.clone());
             }
         }
         apply_notices(shared, known);
@@ -182,5 +182,5 @@
 fn unsent(shared: &IngressShared, incarnation: &(Name, String)) -> Vec<Departure> {
     let known = shared.departures.known.lock();
     let unsent = known.values().filter(|it| !it.receivers.contains(incarnation));
-    unsent.take(MAX_NOTICES).map(|it| it.departure.clone()).collect()
+    unsent.take(MAX_NOTICES).map(|it| it.notice.clone()).collect()
 }
--- a/crates/holdpointd/src/ingress/domains.rs
+++ b/crates/holdpointd/src/ingress/domains.rs
@@ -75,14 +75,14 @@
 fn log(shared: &IngressShared, change: &DomainChange, source: &str) {
     let DomainChange { domain, is_evacuated } = change;
     let targets = shared.targets();
-    let undrained = || targets.iter().filter(|it| !it.is_leaving);
-    let open = undrained().filter(|it| !shared.domains.is_evacuated(&it.domain)).count();
+    let active = || targets.iter().filter(|it| !it.is_leaving);
+    let open = active().filter(|it| !shared.domains.is_evacuated(&it.domain)).count();
     let detail = format!(
         "domain={domain} evacuated={is_evacuated} horizon={} its_targets={} open_targets={open} \
          targets={} source={source}",
         shared.domains.position().offset,
-        undrained().filter(|it| it.domain == *domain).count(),
-        undrained().count(),
+        active().filter(|it| it.domain == *domain).count(),
+        active().count(),
     );
     emit(events::DOMAIN_CHANGED, &shared.settings.instance, &detail);
     let delta = if *is_evacuated { 1 } else { -1 };
--- a/crates/holdpointd/src/ingress/mod.rs
+++ b/crates/holdpointd/src/ingress/mod.rs
@@ -65,7 +65,7 @@
     ingress::shared::IngressShared,
 };
 
-/// Interval at which batches are checked for calls that have become due.
+/// Interval at which queued work is started on targets that have become free with time.
 const PUMP_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval at which idle connections are closed and expired state is removed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
@@ -176,15 +176,15 @@
         let detail = format!("in_flight={}", shared.in_flight.count());
         emit(events::STOPPING, &shared.settings.instance, &detail);
         shared.is_leaving.store(true, Ordering::Release);
-        shared.peers.leave();
+        shared.peers.start_draining();
         let deregistration = tokio::spawn({
             let shared = shared.clone();
             async move { watch::leave_peers(&shared).await }
         });
         sleep(Duration::from_millis(timing.linger_ms).min(grace)).await;
         shared.closing.send_replace(true);
-        let rest = grace.saturating_sub(started_at.elapsed());
-        let is_drained = drain(shared, rest).await;
+        let remaining = grace.saturating_sub(started_at.elapsed());
+        let is_drained = drain(shared, remaining).await;
         sleep(CLOSE_DELAY).await;
         deregistration.abort();
         let detail = format!("in_flight={}", shared.in_flight.count());
@@ -205,11 +205,11 @@
     if is_answer { peer_service::read_answer(frame) } else { peer_service::read_request(frame) }
 }
 
-/// Waits up to `rest` until no request is in flight; returns whether that was reached. Requests without a
+/// Waits up to `remaining` until no request is in flight; returns whether that was reached. Requests without a
 /// response shortly before the end get a final one.
-async fn drain(shared: &IngressShared, rest: Duration) -> bool {
+async fn drain(shared: &IngressShared, remaining: Duration) -> bool {
     let is_drained =
-        timeout(rest.saturating_sub(FINAL_RESPONSE_TIME), shared.in_flight.idle()).await;
+        timeout(remaining.saturating_sub(FINAL_RESPONSE_TIME), shared.in_flight.idle()).await;
     if is_drained.is_ok() {
         return true;
     }
@@ -238,8 +238,7 @@
     }
 }
 
-/// Lead of the clock that counts suspended time over the monotonic clock from which the machine is treated
-/// as having been suspended. Clock adjustments are far smaller.
+/// Shortest suspension of the machine that is detected. Adjustments of the clocks are far smaller.
 const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
 /// Detects suspensions of the machine: compares a clock that counts suspended time with one that does
--- a/crates/holdpointd/src/ingress/peers.rs
+++ b/crates/holdpointd/src/ingress/peers.rs
@@ -161,7 +161,7 @@
     }
 
     /// Marks this instance as draining.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn start_draining(&self) {
         self.is_leaving.store(true, Ordering::Release);
     }
 
@@ -180,7 +180,7 @@
         self.digest.store(digest, Ordering::Release);
         self.revision.fetch_add(1, Ordering::AcqRel);
         let Some(peer) = peer else { return known.remove(name).is_some() };
-        // A new entry means a new process at this address, so earlier timeouts no longer count.
+        // A new or changed entry shows a restart, so earlier timeouts at this address no longer count.
         self.links.trust(&peer.address);
         known.insert(name.to_owned(), peer);
         true
@@ -220,7 +220,7 @@
         &self.seeds
     }
 
-    /// Whether this instance is candidates the seeds of its own settings.
+    /// Whether this instance is among the seeds of its own settings.
     pub(crate) fn is_seed(&self) -> bool {
         self.is_seed
     }
@@ -262,7 +262,7 @@
         others.map(|it| it.0.as_str()).chain(own)
     }
 
-    /// Address of the peer candidates `owners` that batches a service's work items and chooses targets for its
+    /// Address of the peer among `owners` that batches a service's work items and chooses targets for its
     /// prompts; `None` if this instance does.
     pub(crate) fn batcher_of(&self, owners: Owners<'_>, service: &str) -> Option<String> {
         if self.batching == Batching::Own {
@@ -271,13 +271,13 @@
         self.owner_of(owners, service)
     }
 
-    /// Address of the owner of a key candidates `owners`, chosen by rendezvous hashing; `None` if it is this
+    /// Address of the owner of a key among `owners`, chosen by rendezvous hashing; `None` if it is this
     /// instance.
     pub(crate) fn owner_of(&self, owners: Owners<'_>, key: &str) -> Option<String> {
         self.owner_since(0, owners, key)
     }
 
-    /// Like [`Peers::owner_of`], candidates instances with at least the given protocol version.
+    /// Like [`Peers::owner_of`], among instances with at least the given protocol version.
     pub(crate) fn owner_since(
         &self,
         protocol: u32,
@@ -293,7 +293,7 @@
         candidates.max_by_key(|it| (weight(key, &it.name), &it.name))?.address.clone()
     }
 
-    /// Whether the peer at an address is within `within` and keeps confined work within its regions.
+    /// Whether the peer at an address is inside these bounds and keeps confined work in its regions.
     pub(crate) fn is_confined_to(&self, address: &str, within: &Bounds) -> bool {
         let known = self.known.lock();
         let keeps = |it: &Peer| CONFINEMENT_PROTOCOL <= it.protocol && within.allows(&it.domain);
@@ -301,7 +301,7 @@
         its.peek().is_some() && its.all(keeps)
     }
 
-    /// Number of responsive instances candidates those that may be owners, and number of all of these. Unresponsive
+    /// Number of responsive instances among those that may be owners, and number of all of these. Unresponsive
     /// ones may still be reachable by other instances.
     pub(crate) fn owners_reached(&self) -> (usize, usize) {
         self.view().owners_reached
@@ -346,7 +346,7 @@
         (!self.links.is_suspect(&address)).then_some(address)
     }
 
-    /// Whether an incarnation of a peer is the known one and responsive.
+    /// Whether this is the known incarnation of a peer and responsive.
     pub(crate) fn is_life(&self, name: &str, life: &str) -> bool {
         let known = self.known.lock();
         known.get(name).is_some_and(|it| it.life == life && !self.links.is_suspect(&it.address))
--- a/crates/holdpointd/src/ingress/peers/calls.rs
+++ b/crates/holdpointd/src/ingress/peers/calls.rs
@@ -39,9 +39,9 @@
 const ROLLOUT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Peers {
-    /// Has a peer process work items. Returns no results if it does not answer within `limit`, and an error if it
-    /// cannot be reached.
-    pub(crate) async fn make(
+    /// Has a peer process work items. Returns no results if it does not answer within `limit`, and an error if
+    /// there is no connection to it.
+    pub(crate) async fn process_items(
         self: &Peers,
         shared: &Arc<IngressShared>,
         address: &str,
@@ -55,9 +55,9 @@
             if self.protocol_of(address) < DRAIN_PROTOCOL {
                 return link.client.make(context, service, asks).await;
             }
-            let made = link.client.make_pieces(context, service, asks).await?;
-            departures::apply_notices(shared, made.departures);
-            Ok(made.results)
+            let response = link.client.make_pieces(context, service, asks).await?;
+            departures::apply_notices(shared, response.departures);
+            Ok(response.results)
         };
         let answer = tokio::select! {
             it = tokio::time::timeout(limit, call) => it,
@@ -82,11 +82,11 @@
         prompt: PromptAsk,
         limit: Duration,
     ) -> Option<TargetId> {
-        let asked = async {
+        let call = async {
             let link = self.links.get(shared, address).await.ok()?;
             link.client.place(context_for(limit), service.to_owned(), prompt).await.ok()?
         };
-        tokio::time::timeout(limit, asked).await.ok()?
+        tokio::time::timeout(limit, call).await.ok()?
     }
 
     /// Asks a peer to choose the target for a prompt and to admit the prompt there; `None` if it does not answer
@@ -99,13 +99,13 @@
         (prompt, patience_ms): (PromptAsk, Millis),
         limit: Duration,
     ) -> Option<Assignment> {
-        let asked = async {
+        let call = async {
             let link = self.links.get(shared, address).await.ok()?;
-            let asked =
+            let call =
                 link.client.assign(context_for(limit), service.to_owned(), prompt, patience_ms);
-            asked.await.ok()
+            call.await.ok()
         };
-        tokio::time::timeout(limit, asked).await.ok()?
+        tokio::time::timeout(limit, call).await.ok()?
     }
 
     /// Asks a peer that owns the rate-limit state of a target to admit a request; `None` if it does not answer
@@ -117,11 +117,11 @@
         known: LimitNews,
     ) -> Option<Slot> {
         let limit = self.links.with_distance(address, PLACE_LIMIT);
-        let asked = async {
+        let call = async {
             let link = self.links.get(shared, address).await.ok()?;
             link.client.take_slot(context_for(limit), known).await.ok()
         };
-        tokio::time::timeout(limit, asked).await.ok()?
+        tokio::time::timeout(limit, call).await.ok()?
     }
 
     /// Sends a peer the rate limits that targets have reported.
@@ -129,10 +129,10 @@
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
-        news: Vec<LimitNews>,
+        limits: Vec<LimitNews>,
     ) -> Result<(), PeerSilent> {
         let call =
-            async |client: &IngressPeersClient, context| client.hear_limits(context, news).await;
+            async |client: &IngressPeersClient, context| client.hear_limits(context, limits).await;
         self.notify(shared, address, NOTIFY_TIMEOUT, call).await
     }
 
@@ -164,8 +164,8 @@
             return None;
         }
         let link = self.links.get(shared, address).await.ok()?;
-        let asked = link.client.lend(context_for(limit), service.to_owned(), wanted);
-        tokio::time::timeout(limit, asked).await.ok()?.ok()
+        let call = link.client.lend(context_for(limit), service.to_owned(), wanted);
+        tokio::time::timeout(limit, call).await.ok()?.ok()
     }
 
     /// Takes slots that a peer has borrowed from a service in another region. Returns the time that the stage takes
@@ -193,14 +193,14 @@
         service: &str,
         report: RolloutReport,
     ) -> Option<DriverAnswer> {
-        let asked = async {
+        let call = async {
             let link = self.links.get(shared, address).await.ok()?;
             link.client
                 .roll_out(context_for(ROLLOUT_TIMEOUT), service.to_owned(), report)
                 .await
                 .ok()
         };
-        tokio::time::timeout(ROLLOUT_TIMEOUT, asked).await.ok()?
+        tokio::time::timeout(ROLLOUT_TIMEOUT, call).await.ok()?
     }
 
     /// Sends observations of requests that crash their targets to the service's judge, which decides on
@@ -278,7 +278,7 @@
 }
 
 /// Has work items processed by the instance that batches them in a region, or by this instance if none can be
-/// reached. Returns one result for each item.
+/// reached. Items without a result from a peer in time get [`NoResult::Late`].
 pub(crate) async fn make_anywhere(
     shared: &Arc<IngressShared>,
     region: &str,
@@ -291,8 +291,8 @@
     let until = Instant::now() + limit;
     while let Some(address) = owner_of(shared, region, service, within) {
         let left = until.saturating_duration_since(Instant::now());
-        let made = shared.peers.make(shared, &address, service, asks.clone(), left).await;
-        let Ok(mut results) = made else { continue };
+        let res = shared.peers.process_items(shared, &address, service, asks.clone(), left).await;
+        let Ok(mut results) = res else { continue };
         if results.iter().all(|it| *it == Err(NoResult::Unreachable)) && !results.is_empty() {
             // The peer does not know the service yet.
             break;
--- a/crates/holdpointd/src/ingress/peers/view.rs
+++ b/crates/holdpointd/src/ingress/peers/view.rs
@@ -18,7 +18,7 @@
 use super::{Peer, Peers, Sources};
 use crate::ingress::peer_service::PROTOCOL;
 
-/// An instance that may own services.
+/// An instance with enough capacity to own services.
 #[derive(Clone, Debug)]
 pub(super) struct Owner {
     pub(super) name: Name,
@@ -43,12 +43,12 @@
     stamp: Stamp,
     /// When the next suspect peer is to be tried again, which changes the view.
     until: Option<Instant>,
-    /// Strong instances among all.
+    /// Candidates for owners among all responsive instances: those with the most capacity.
     pub(super) owners: Vec<Owner>,
-    /// Strong instances of each region.
+    /// The same by region, for regions with responsive instances.
     pub(super) regions: HashMap<Name, Vec<Owner>>,
     pub(super) sources: Sources,
-    /// Number of responsive strong instances, and of all strong instances.
+    /// Number of responsive candidates for owners, and of all candidates, responsive or not.
     pub(super) owners_reached: (usize, usize),
     /// Instances that a starting instance has to know.
     leaders: Vec<Name>,
