--- a/crates/holdpointd/src/ingress/departures.rs
+++ b/crates/holdpointd/src/ingress/departures.rs
@@ -147,10 +147,10 @@
     }
 }
 
-/// Sends the readers of the store the notices that they have not received. With `asks`, also calls readers that
+/// Sends the readers of the store the notices that they have not received. With `is_forced`, also calls readers that
 /// have received all, to get theirs.
-async fn notify_readers(shared: &Arc<IngressShared>, asks: bool) {
-    if !asks && shared.departures.known.lock().is_empty() {
+async fn notify_readers(shared: &Arc<IngressShared>, is_forced: bool) {
+    if !is_forced && shared.departures.known.lock().is_empty() {
         return;
     }
     let readers = shared.peers.sources().readers;
@@ -160,7 +160,7 @@
     let send = |(name, peer): (Name, Peer)| async move {
         let incarnation = (name, peer.life);
         let notices = unsent(shared, &incarnation);
-        if notices.is_empty() && !asks {
+        if notices.is_empty() && !is_forced {
             return;
         }
         let Ok(known) =
--- a/crates/holdpointd/src/ingress/peer_service.rs
+++ b/crates/holdpointd/src/ingress/peer_service.rs
@@ -93,7 +93,7 @@
     pub(crate) prefix_work: f64,
     /// Hash of the prefix.
     pub(crate) prefix: u64,
-    /// Targets to avoid: those that were tried, are ejected or have asked for a backoff.
+    /// Targets that must not be chosen: already tried, ejected, or in a backoff that they requested.
     pub(crate) avoided: Vec<TargetId>,
     /// Name of the policy of the trial's arm that the request is assigned to, if any.
     #[serde(default)]
