--- a/crates/holdpointd/src/ingress/rollouts.rs
+++ b/crates/holdpointd/src/ingress/rollouts.rs
@@ -1,7 +1,7 @@
-//! Versions that are rolled out: what this instance lets through to them, and what it tells their
+//! Roll-outs of new versions: which requests this instance sends to them, and what it reports to their
 //! drivers.
 //!
-//! As long as there is no order, all of this costs one read of a flag for each request.
+//! While there is no roll-out order, the cost per request is one read of a flag.
 
 mod driver;
 mod record;
@@ -47,103 +47,104 @@
     metrics::label,
 };
 
-/// How often a driver is told, and decides.
-const ROUND: Duration = Duration::from_millis(200);
-/// Longest time for which what a driver told holds, in milliseconds: four rounds may be lost.
+/// Interval of reports to a driver, and of its decisions.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest time for which an update from a driver is valid, in milliseconds. Four rounds may be lost.
 const LEASE_MS: Millis = 1000;
-/// Part of the time within which a bad version gets nothing more for which what a driver told holds.
-const LEASE_PART: Millis = 5;
+/// Divisor that bounds the lease by `stop_ms`, the time within which a bad version gets no more requests.
+const STOP_DIVISOR: Millis = 5;
 
-/// What an instance tells the driver of a roll-out.
+/// Report of an instance to the driver of a roll-out.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct RolloutReport {
     /// Offset of the order.
     offset: Horizon,
-    /// Name of the instance, and its life.
+    /// Name of the instance, and its incarnation.
     instance: Name,
     life: u64,
-    /// How much of the order's time is left, as it knows.
+    /// Time left until the deadline of the order as the instance knows it, in milliseconds.
     left_ms: Millis,
-    /// What it has seen.
+    /// Its counts since it saw the order.
     input: Input,
 }
 
-/// What an instance answers that was taken for the driver.
+/// Answer of an instance that was asked as the driver.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum DriverAnswer {
-    /// It drives the roll-out.
+    /// The instance drives the roll-out; its update.
     Word(Word),
-    /// The instance of this name drives it.
+    /// Another instance, of this name, drives it.
     Other(Name),
-    /// It does not know.
+    /// The driver is not known here, or its record could not be confirmed.
     Nothing,
 }
 
 /// Targets of one service by version.
 #[derive(Clone, Debug, Default)]
-struct Sides {
+struct VersionTargets {
     old: Vec<TargetId>,
     new: Vec<TargetId>,
-    /// Those of the version that get nothing while it is not known to be good.
-    spared: Vec<TargetId>,
-    /// How many of each may get work: neither leaving nor in an evacuated failure domain.
-    open: (usize, usize),
+    /// Targets of the new version that get no requests in the phases `Canary` and `Loaded`.
+    withheld: Vec<TargetId>,
+    /// Numbers of old and new targets that may get work: not draining, nor in an evacuated failure domain.
+    open_counts: (usize, usize),
 }
 
 /// One service's roll-out at this instance.
 #[derive(Debug)]
-struct Local {
+struct LocalRollout {
     gate: Gate,
-    sides: Sides,
-    /// Name of the instance that drives it, where another one has told.
+    targets: VersionTargets,
+    /// Name of the driver, as another instance or the record has reported it.
     driver: Option<Name>,
-    /// When the driver was last heard, and when its record was last read for want of that.
-    heard: Millis,
-    looked: Millis,
-    /// Requests sent whose end was not counted.
+    /// When the driver was asked for the last update; initially when the order was seen.
+    last_update: Millis,
+    /// When the record was last read for lack of an update.
+    last_read: Millis,
+    /// Ids of requests sent whose result is not counted yet.
     unanswered: HashSet<String>,
 }
 
-/// All that this instance knows of roll-outs.
+/// State of the roll-outs at this instance.
 pub(crate) struct Rollouts {
     bound: Bound,
     lease_ms: Millis,
-    /// Whether there is any.
+    /// Whether any roll-out is active.
     is_active: AtomicBool,
     orders: Mutex<Orders>,
-    local: Mutex<HashMap<Name, Local>>,
+    local: Mutex<HashMap<Name, LocalRollout>>,
     driven: Mutex<BTreeMap<Name, Driven>>,
     records: tokio::sync::Mutex<Records>,
-    ordered: Notify,
+    orders_changed: Notify,
 }
 
 impl Rollouts {
-    /// Makes the state of an instance that knows of none.
+    /// Creates the state without roll-outs.
     pub(crate) fn new(settings: &IngressSettings, eras: Arc<Eras>) -> Rollouts {
-        let its = &settings.rollouts;
+        let limits = &settings.rollouts;
         Rollouts {
-            bound: Bound { share: its.share, slack: its.slack },
-            lease_ms: LEASE_MS.min(its.stop_ms as Millis / LEASE_PART),
+            bound: Bound { share: limits.share, slack: limits.slack },
+            lease_ms: LEASE_MS.min(limits.stop_ms as Millis / STOP_DIVISOR),
             is_active: AtomicBool::new(false),
             orders: Mutex::default(),
             local: Mutex::default(),
             driven: Mutex::default(),
             records: tokio::sync::Mutex::new(Records::new(settings, eras)),
-            ordered: Notify::new(),
+            orders_changed: Notify::new(),
         }
     }
 
-    /// How far the log of orders is known.
+    /// Position up to which the log of orders has been read.
     pub(crate) fn position(&self) -> Position {
         self.orders.lock().position()
     }
 
-    /// The orders, for a peer.
+    /// Snapshot of the orders for a peer.
     pub(crate) fn told(&self, now: Millis) -> ToldOrders {
         self.orders.lock().told(now)
     }
 
-    /// Where the roll-out of a service stands, as far as this instance knows.
+    /// Phase of a service's roll-out; `None` if there is none or the driver's update has expired.
     pub(crate) fn phase(&self, now: Millis, service: &str) -> Option<Phase> {
         self.local.lock().get(service)?.gate.phase(now)
     }
@@ -152,19 +153,20 @@
         self.is_active.load(Ordering::Acquire)
     }
 
-    /// Takes in the targets of all services.
+    /// Updates the targets of both versions of each service from the directory.
     pub(crate) fn set_targets(&self, directory: &Directory, evacuations: &Evacuations) {
         if !self.is_active() {
             return;
         }
         for (service, local) in self.local.lock().iter_mut() {
             let version = local.gate.order().version.as_str();
-            local.sides = sides(directory, evacuations, (service, version, &self.bound));
+            local.targets =
+                version_targets(directory, evacuations, (service, version, &self.bound));
         }
     }
 
-    /// Whether a target's version may get requests now. An old one may as long as its targets are not
-    /// about to be stopped.
+    /// Whether a target's version may get requests now. An old version may until its targets are about to
+    /// be stopped.
     pub(crate) fn is_open(&self, now: Millis, target: &TargetInstance) -> bool {
         if !self.is_active() {
             return true;
@@ -174,53 +176,53 @@
         match it.lane(now, 0) {
             Lane::Any => true,
             _ if target.version == it.gate.order().version => it.gate.is_open(now),
-            _ => it.gate.phase(now) != Some(Phase::Completed) || it.sides.open.1 == 0,
+            _ => it.gate.phase(now) != Some(Phase::Completed) || it.targets.open_counts.1 == 0,
         }
     }
 
-    /// Which targets a request may go to, of which it has spent what it needs.
+    /// Chooses the lane of a request and spends the permit that it needs.
     pub(crate) fn lane(&self, now: Millis, service: &str, route: &str) -> Lane {
         if !self.is_active() {
             return Lane::Any;
         }
         let mut local = self.local.lock();
         let Some(it) = local.get_mut(service) else { return Lane::Any };
-        let (old, new) = it.sides.open;
+        let (old, new) = it.targets.open_counts;
         if new == 0 && old != 0 {
             return Lane::Old;
         }
         it.gate.lane(now, route, rand::random(), old != 0)
     }
 
-    /// Targets that a request in a lane may not go to.
+    /// Targets that a request in a lane must not be sent to.
     pub(crate) fn closed(&self, now: Millis, service: &str, lane: Lane) -> Vec<TargetId> {
         let local = self.local.lock();
         let Some(it) = local.get(service) else { return Vec::new() };
         let phase = it.gate.phase(now);
-        let is_spared = matches!(phase, Some(Phase::Canary | Phase::Loaded));
-        let spared = it.sides.spared.iter().filter(|_| is_spared).cloned();
+        let is_withheld = matches!(phase, Some(Phase::Canary | Phase::Loaded));
+        let withheld = it.targets.withheld.iter().filter(|_| is_withheld).cloned();
         match lane {
-            Lane::Any => spared.collect(),
-            Lane::Old => it.sides.new.clone(),
-            Lane::New => it.sides.old.iter().cloned().chain(spared).collect(),
+            Lane::Any => withheld.collect(),
+            Lane::Old => it.targets.new.clone(),
+            Lane::New => it.targets.old.iter().cloned().chain(withheld).collect(),
         }
     }
 
-    /// Which targets so many pieces may go to together; `None` where nothing is rolled out.
-    pub(crate) fn piece_lane(&self, now: Millis, service: &str, pieces: u64) -> Option<Lane> {
+    /// Lane of a call with this many work items; `None` if the service has no roll-out.
+    pub(crate) fn piece_lane(&self, now: Millis, service: &str, items: u64) -> Option<Lane> {
         if !self.is_active() {
             return None;
         }
         let mut local = self.local.lock();
         let it = local.get_mut(service)?;
-        it.gate.wants(pieces);
-        let is_over = it.gate.phase(now) == Some(Phase::Completed);
-        // Until then a busy target of the version keeps no piece from an idle one of another.
-        let or_any = |lane| if lane == Lane::New && !is_over { Lane::Any } else { lane };
-        Some(or_any(it.lane(now, pieces)))
+        it.gate.wants(items);
+        let is_completed = it.gate.phase(now) == Some(Phase::Completed);
+        // Before completion, an item need not wait for a busy new target while an old one is idle.
+        let or_any = |lane| if lane == Lane::New && !is_completed { Lane::Any } else { lane };
+        Some(or_any(it.lane(now, items)))
     }
 
-    /// Counts pieces as sent to a target.
+    /// Counts work items as sent to a target.
     pub(crate) fn pieces_sent(&self, service: &str, target: &str, count: u64) {
         if !self.is_active() {
             return;
@@ -228,23 +230,23 @@
         let mut local = self.local.lock();
         let Some(it) = local.get_mut(service) else { return };
         it.gate.reached(count);
-        if it.sides.new.iter().any(|id| id == target) {
+        if it.targets.new.iter().any(|id| id == target) {
             it.gate.exposed(count);
         }
     }
 
-    /// Takes in how a target answered for a piece.
+    /// Counts a target's answer for a work item.
     pub(crate) fn piece_answered(&self, service: &str, target: &str, route: &str, answer: Answer) {
         if !self.is_active() {
             return;
         }
         let mut local = self.local.lock();
         let Some(it) = local.get_mut(service) else { return };
-        let is_new = it.sides.new.iter().any(|id| id == target);
+        let is_new = it.targets.new.iter().any(|id| id == target);
         it.gate.answered(route, is_new, answer);
     }
 
-    /// Takes in how a send ended.
+    /// Counts the result of a request sent to a target.
     pub(crate) fn answered(
         &self,
         ctx: &Context,
@@ -255,7 +257,7 @@
         if !self.is_active() {
             return;
         }
-        // Before the lock below: whoever changes targets takes both in this order.
+        // Taken before the lock below, in the same order as when targets change.
         let is_cold = ctx.shared.is_cold(&target.id);
         let mut local = self.local.lock();
         let Some(it) = local.get_mut(&target.service) else { return };
@@ -264,7 +266,7 @@
             (End::Whole(ms), _) => Answer::Good((!is_cold).then_some(ms)),
             (_, "target-failed" | "broken") => Answer::Failed,
             (_, "silent") => Answer::Silent,
-            // A target that takes no connection is none that answers badly.
+            // A refused connection is not a bad answer.
             (_, "declined") => Answer::Refused,
             _ => return,
         };
@@ -276,26 +278,29 @@
             Answer::Silent => "silent",
             Answer::Refused => "refused",
         };
-        let labels =
-            [label("service", target.service.as_str()), side(is_new), label("answer", name)];
+        let labels = [
+            label("service", target.service.as_str()),
+            version_label(is_new),
+            label("answer", name),
+        ];
         ctx.shared.metrics.rollout_answers.add(1, &labels);
     }
 }
 
-impl Local {
-    fn new(gate: Gate, now: Millis) -> Local {
-        Local {
+impl LocalRollout {
+    fn new(gate: Gate, now: Millis) -> LocalRollout {
+        LocalRollout {
             gate,
-            sides: Sides::default(),
+            targets: VersionTargets::default(),
             driver: None,
-            heard: now,
-            looked: 0,
+            last_update: now,
+            last_read: 0,
             unanswered: HashSet::new(),
         }
     }
 
     fn lane(&self, now: Millis, count: u64) -> Lane {
-        let (old, new) = self.sides.open;
+        let (old, new) = self.targets.open_counts;
         if new == 0 && old != 0 {
             return Lane::Old;
         }
@@ -303,36 +308,37 @@
     }
 }
 
-fn side(is_new: bool) -> opentelemetry::KeyValue {
+fn version_label(is_new: bool) -> opentelemetry::KeyValue {
     label("version", if is_new { "new" } else { "old" })
 }
 
-fn sides(
+fn version_targets(
     directory: &Directory,
     evacuations: &Evacuations,
     (service, version, bound): (&str, &str, &Bound),
-) -> Sides {
-    let mut sides = Sides::default();
+) -> VersionTargets {
+    let mut targets = VersionTargets::default();
     let mut open_new: Vec<TargetId> = Vec::new();
     for it in directory.of_service(service) {
         let is_new = it.version == version;
         let is_open = !it.is_leaving && !evacuations.is_evacuated(&it.domain);
-        let side = if is_new { &mut sides.new } else { &mut sides.old };
-        side.push(it.id.clone());
-        let open = if is_new { &mut sides.open.1 } else { &mut sides.open.0 };
-        *open += usize::from(is_open);
+        let ids = if is_new { &mut targets.new } else { &mut targets.old };
+        ids.push(it.id.clone());
+        let count = if is_new { &mut targets.open_counts.1 } else { &mut targets.open_counts.0 };
+        *count += usize::from(is_open);
         if is_new && is_open {
             open_new.push(it.id.clone());
         }
     }
-    // All instances spare the same ones.
+    // All instances withhold requests from the same targets.
     open_new.sort_by_cached_key(|it| weight(version, it));
-    let few = canary_targets(bound, sides.open.0, sides.open.1);
-    sides.spared = open_new.split_off(few.min(open_new.len()));
-    sides
+    let canaries = canary_targets(bound, targets.open_counts.0, targets.open_counts.1);
+    targets.withheld = open_new.split_off(canaries.min(open_new.len()));
+    targets
 }
 
-/// Takes in what operators wrote.
+/// Applies records that operators have written to the log of orders. Emits an event for a record that
+/// cannot be parsed.
 pub(crate) fn take_orders(
     shared: &Arc<IngressShared>,
     records: &[KeyedRecord],
@@ -359,8 +365,7 @@
     take_over(shared, newer, "store");
 }
 
-/// Takes over what is newer of the orders: their versions get nothing from now on but what a driver
-/// allows.
+/// Merges newer orders. From then on, their versions get only the requests that a driver permits.
 pub(crate) fn take_over(shared: &Arc<IngressShared>, newer: Orders, source: &str) {
     let rollouts = &shared.rollouts;
     let changed = rollouts.orders.lock().advance(shared.clock.now(), newer);
@@ -383,8 +388,8 @@
         let mut local = rollouts.local.lock();
         match (order, local.get_mut(service)) {
             (Some(order), _) => {
-                let begun = Local::new(Gate::new(order), now);
-                local.insert(service.clone(), begun);
+                let rollout = LocalRollout::new(Gate::new(order), now);
+                local.insert(service.clone(), rollout);
             }
             (None, Some(it)) if it.gate.phase(now).is_some_and(Phase::is_final) => {
                 local.remove(service);
@@ -396,26 +401,26 @@
     let is_active = !rollouts.local.lock().is_empty();
     rollouts.is_active.store(is_active, Ordering::Release);
     shared.apply_directory();
-    rollouts.ordered.notify_one();
+    rollouts.orders_changed.notify_one();
     shared.has_news.send_replace(());
 }
 
-/// Has drivers look whether the store still has what they wrote there, and write it again where it has not.
+/// Makes drivers check their records in the store after it has returned, and write lost ones again.
 pub(crate) fn store_returned(shared: &IngressShared) {
     driver::store_returned(shared);
 }
 
-/// Tells drivers what this instance has seen and hears from them, and drives what falls to it, until
-/// the task is dropped.
+/// Exchanges reports and updates with drivers, and drives the roll-outs that this instance is responsible
+/// for, until the task is dropped.
 pub(crate) async fn run(shared: Arc<IngressShared>) {
     loop {
         if !shared.rollouts.is_active() {
-            shared.rollouts.ordered.notified().await;
+            shared.rollouts.orders_changed.notified().await;
         }
         let services: Vec<Name> = shared.rollouts.local.lock().keys().cloned().collect();
         let rounds = services.iter().map(|it| round(&shared, it));
         futures::future::join_all(rounds).await;
-        sleep(ROUND).await;
+        sleep(REPORT_INTERVAL).await;
     }
 }
 
@@ -425,7 +430,7 @@
     let (is_open, is_over, report) = {
         let local = rollouts.local.lock();
         let Some(it) = local.get(service) else { return };
-        // Until the old targets stop, the driver waits for what runs there.
+        // The driver needs reports of requests at old targets until these targets stop.
         let is_over = it.gate.phase(now).is_some_and(Phase::is_final)
             && (it.gate.phase(now) == Some(Phase::RolledBack) || it.gate.order().until <= now);
         (it.gate.is_open(now), is_over, report(shared, it))
@@ -434,8 +439,8 @@
         driver::drive(shared, service).await;
     }
     if !is_over {
-        let answer = ask(shared, service, report).await;
-        hear(shared, service, answer, now).await;
+        let answer = ask_driver(shared, service, report).await;
+        apply_answer(shared, service, answer, now).await;
     }
     let has_opened = rollouts.local.lock().get(service).map(|it| it.gate.is_open(now));
     if has_opened != Some(is_open) {
@@ -443,7 +448,7 @@
     }
 }
 
-fn report(shared: &IngressShared, local: &Local) -> RolloutReport {
+fn report(shared: &IngressShared, local: &LocalRollout) -> RolloutReport {
     RolloutReport {
         offset: local.gate.order().offset,
         instance: shared.settings.instance.clone(),
@@ -453,22 +458,31 @@
     }
 }
 
-/// Asks whoever drives a service's roll-out, as far as that is known, else whoever would.
-async fn ask(shared: &Arc<IngressShared>, service: &str, report: RolloutReport) -> DriverAnswer {
+/// Reports to the driver of a service's roll-out, or to its default driver if none is known.
+async fn ask_driver(
+    shared: &Arc<IngressShared>,
+    service: &str,
+    report: RolloutReport,
+) -> DriverAnswer {
     let named = shared.rollouts.local.lock().get(service).and_then(|it| it.driver.clone());
     let named = named.and_then(|it| shared.peers.live_address(&it));
     let Some(address) = named.or_else(|| shared.peers.owner_of(Owners::Any, &driver::key(service)))
     else {
         return answer(shared, service, report);
     };
-    let told = shared.peers.roll_out(shared, &address, service, report).await;
-    told.unwrap_or(DriverAnswer::Nothing)
+    let answer = shared.peers.roll_out(shared, &address, service, report).await;
+    answer.unwrap_or(DriverAnswer::Nothing)
 }
 
-/// Takes in what a driver told. Where none is found, the record of the roll-out tells whether it has
+/// Applies the answer of a driver. If none was found, reads from the record whether the roll-out has
 /// ended.
-async fn hear(shared: &Arc<IngressShared>, service: &str, told: DriverAnswer, asked: Millis) {
-    let word = match told {
+async fn apply_answer(
+    shared: &Arc<IngressShared>,
+    service: &str,
+    answer: DriverAnswer,
+    asked_at: Millis,
+) {
+    let word = match answer {
         DriverAnswer::Word(it) => Some(it),
         DriverAnswer::Other(name) => {
             set_driver(shared, service, Some(name));
@@ -476,7 +490,7 @@
         }
         DriverAnswer::Nothing => {
             set_driver(shared, service, None);
-            match driver::recorded(shared, service).await {
+            match driver::record_if_overdue(shared, service).await {
                 Some(Record { phase, order, .. }) if phase.is_final() => {
                     Some(Word { offset: order, phase, ..Word::default() })
                 }
@@ -488,9 +502,9 @@
     let Some(word) = word else { return };
     let mut local = shared.rollouts.local.lock();
     let Some(it) = local.get_mut(service) else { return };
-    it.heard = asked;
-    // It holds from when it was asked for: the answer may have been long on its way.
-    it.gate.hear(word, asked + shared.rollouts.lease_ms);
+    it.last_update = asked_at;
+    // The lease starts at the request, as the answer may have been delayed.
+    it.gate.hear(word, asked_at + shared.rollouts.lease_ms);
 }
 
 fn set_driver(shared: &IngressShared, service: &str, driver: Option<Name>) {
@@ -499,7 +513,7 @@
     }
 }
 
-/// Answers an instance that takes this one for the driver of a roll-out.
+/// Answers an instance that asks this one as the driver of a roll-out.
 pub(crate) fn answer(
     shared: &Arc<IngressShared>,
     service: &str,
--- a/crates/holdpointd/src/ingress/rollouts/driver.rs
+++ b/crates/holdpointd/src/ingress/rollouts/driver.rs
@@ -1,8 +1,8 @@
-//! The driver of a roll-out: the one instance that sums up what all have seen, decides and records.
+//! The driver of a roll-out: the one instance that aggregates the reports of all instances, decides on
+//! phases and records them.
 //!
-//! Which instance that is follows from a hash over those that are live, until its record is written;
-//! from then on it is the one that the record names, as long as that one lives. A driver that cannot
-//! read its record allows nothing.
+//! The first driver is chosen by a hash over the live instances. Once a record is written, the driver is
+//! the instance named there while it is live. A driver that cannot read its record grants no permits.
 
 use std::{
     sync::Arc,
@@ -22,57 +22,57 @@
         peers::Owners,
         rollouts::{
             DriverAnswer, RolloutReport,
-            record::{Record, Unwritten},
+            record::{Record, WriteError},
         },
         shared::IngressShared,
     },
 };
 
-/// How often a driver makes sure that it still is.
+/// Interval at which a driver checks that its record is still valid, in milliseconds.
 const CHECK_MS: Millis = 500;
-/// How long that holds, in milliseconds: a check and a call that takes its longest time.
-const CHECKED_MS: Millis = 1500;
-/// How long an instance hears nothing of a roll-out before it reads the record by itself, and how often
-/// it does, in milliseconds.
-const QUIET_MS: Millis = 1000;
-/// How long nothing is heard before any instance may take a roll-out over, in milliseconds: its driver is
-/// live and cannot read the store. Instances wait longer by different parts of a second.
-const DEAF_MS: Millis = 2000;
-/// The longest of these parts.
-const DEAF_SPREAD_MS: f64 = 1000.0;
+/// How long a check is valid, in milliseconds: one interval and the longest duration of a call.
+const CHECK_VALID_MS: Millis = 1500;
+/// Time without an update from the driver after which an instance reads the record itself, and the interval
+/// of these reads, in milliseconds.
+const RECORD_READ_MS: Millis = 1000;
+/// Time without an update after which any instance may take over a roll-out whose driver is live but cannot
+/// read the store, in milliseconds. Each instance adds a different delay.
+const TAKEOVER_MS: Millis = 2000;
+/// Upper limit of that delay, in milliseconds.
+const TAKEOVER_SPREAD_MS: f64 = 1000.0;
 
-/// One roll-out at the instance that drives it, or would.
+/// One roll-out at its driver, or at an instance that may become the driver.
 pub(super) struct Driven {
     rollout: Rollout,
-    /// Whether the record names this life of this instance.
+    /// Whether the record names this incarnation of this instance.
     is_mine: bool,
-    /// The instance that the record names, if another one.
+    /// The driver that the record names, if it is another instance.
     other: Option<Name>,
-    /// Where the topic of records ended when it was last read or written.
+    /// End offset of the topic of records at the last read or write.
     end: u64,
-    /// When the record was last known to be as this instance believes.
+    /// When the record was last confirmed by a read or a write.
     checked: Option<Millis>,
-    /// What operators were told.
-    told: Option<State>,
-    /// When this instance last tried to find out whether it drives it.
-    tried: Option<Millis>,
-    /// A phase that is decided and not recorded.
+    /// Status that was last published to operators.
+    published: Option<State>,
+    /// When this instance last began a check of the record.
+    last_attempt: Option<Millis>,
+    /// A phase that is decided but not yet recorded and entered.
     decided: Option<Phase>,
 }
 
-/// Key by which the first driver of a service's roll-out is chosen.
+/// Hash key that selects the first driver of a service's roll-out.
 pub(super) fn key(service: &str) -> String {
     format!("rollout/{service}")
 }
 
-/// Whether it falls to this instance to drive a service's roll-out.
+/// Whether this instance has to drive a service's roll-out.
 pub(super) fn has_duty(shared: &IngressShared, service: &str) -> bool {
     let is_owner = shared.peers.owner_of(Owners::Any, &key(service)).is_none();
     let is_ordered = shared.rollouts.orders.lock().get(service).is_some();
     let driven = shared.rollouts.driven.lock();
     let found = driven.get(service);
     let is_done = found.is_some_and(|it| {
-        it.told.is_some_and(|it| it != State::Running) && it.rollout.phase().is_final()
+        it.published.is_some_and(|it| it != State::Running) && it.rollout.phase().is_final()
     });
     let is_same = |it: &Driven| {
         let orders = shared.rollouts.orders.lock();
@@ -80,36 +80,36 @@
     };
     let is_mine = found.is_some_and(|it| it.is_mine);
     let is_over = is_done && found.is_some_and(is_same);
-    !is_over && (is_mine || ((is_owner || is_deaf(shared, service)) && is_ordered))
+    !is_over && (is_mine || ((is_owner || may_take_over(shared, service)) && is_ordered))
 }
 
-/// Whether nothing was heard of a roll-out for so long that this instance may take it over.
-fn is_deaf(shared: &IngressShared, service: &str) -> bool {
+/// Whether the driver has sent no update for so long that this instance may take the roll-out over.
+fn may_take_over(shared: &IngressShared, service: &str) -> bool {
     let own = weight(service, &shared.settings.instance) as f64 / u64::MAX as f64;
-    let patience = DEAF_MS + (DEAF_SPREAD_MS * own) as Millis;
+    let timeout = TAKEOVER_MS + (TAKEOVER_SPREAD_MS * own) as Millis;
     let local = shared.rollouts.local.lock();
-    local.get(service).is_some_and(|it| it.heard + patience <= shared.clock.now())
+    local.get(service).is_some_and(|it| it.last_update + timeout <= shared.clock.now())
 }
 
-/// Decides what is due for a service's roll-out.
+/// Checks the record, decides on the next phase, and publishes the status.
 pub(super) async fn drive(shared: &Arc<IngressShared>, service: &str) {
     let order = shared.rollouts.orders.lock().get(service).cloned();
-    begin(shared, service, order.as_ref());
+    ensure_driven(shared, service, order.as_ref());
     if is_check_due(shared, service) {
         check(shared, service).await;
     }
-    let Some((phase, reason)) = due(shared, service, order.is_none()) else {
+    let Some((phase, reason)) = due_phase(shared, service, order.is_none()) else {
         record(shared, service, None).await;
-        return tell(shared, service).await;
+        return publish_status(shared, service).await;
     };
-    // Another driver begins with a canary anew; only the end has to outlive this one.
+    // A new driver starts again with a canary, so only a final phase has to be persisted first.
     if !phase.is_final() || record(shared, service, Some(phase)).await {
         enter(shared, service, phase, &reason);
     }
-    tell(shared, service).await;
+    publish_status(shared, service).await;
 }
 
-fn begin(shared: &IngressShared, service: &str, order: Option<&Order>) {
+fn ensure_driven(shared: &IngressShared, service: &str, order: Option<&Order>) {
     let Some(order) = order else { return };
     let mut driven = shared.rollouts.driven.lock();
     let is_known = driven.get(service).is_some_and(|it| it.rollout.offset() == order.offset);
@@ -127,26 +127,26 @@
             other: None,
             end: 0,
             checked: None,
-            told: None,
-            tried: None,
+            published: None,
+            last_attempt: None,
             decided: None,
         }
     }
 
-    fn is_trusted(&self, now: Millis) -> bool {
-        self.is_mine && self.checked.is_some_and(|it| now < it + CHECKED_MS)
+    fn is_confirmed(&self, now: Millis) -> bool {
+        self.is_mine && self.checked.is_some_and(|it| now < it + CHECK_VALID_MS)
     }
 
-    /// Where the roll-out stands, as instances are told: what is not recorded is not final.
-    fn phase_told(&self) -> Phase {
+    /// Phase that is reported to instances: `Waiting` for a rollback that is not recorded yet.
+    fn reported_phase(&self) -> Phase {
         if self.decided == Some(Phase::RolledBack) { Phase::Waiting } else { self.rollout.phase() }
     }
 }
 
-/// Has each roll-out that this instance drives checked, and told, anew.
+/// Makes the next round check the record of each roll-out and publish its status again.
 pub(super) fn store_returned(shared: &IngressShared) {
     for it in shared.rollouts.driven.lock().values_mut() {
-        (it.checked, it.tried, it.told) = (None, None, None);
+        (it.checked, it.last_attempt, it.published) = (None, None, None);
     }
 }
 
@@ -154,18 +154,18 @@
     let now = shared.clock.now();
     let driven = shared.rollouts.driven.lock();
     driven.get(service).is_some_and(|it| {
-        let is_old = it.checked.is_none_or(|it| it + CHECK_MS <= now);
-        let is_first = it.is_mine || it.tried.is_none_or(|it| it + CHECK_MS <= now);
-        is_old && is_first
+        let is_stale = it.checked.is_none_or(|it| it + CHECK_MS <= now);
+        let is_attempt_due = it.is_mine || it.last_attempt.is_none_or(|it| it + CHECK_MS <= now);
+        is_stale && is_attempt_due
     })
 }
 
-/// Reads the record, and takes the roll-out over where the record names nobody who lives.
+/// Reads the record, and takes the roll-out over if the record names no live driver.
 async fn check(shared: &Arc<IngressShared>, service: &str) {
     let begun = shared.clock.now();
-    let is_deaf = is_deaf(shared, service);
+    let may_take_over = may_take_over(shared, service);
     if let Some(it) = shared.rollouts.driven.lock().get_mut(service) {
-        it.tried = Some(begun);
+        it.last_attempt = Some(begun);
     }
     let mut records = shared.rollouts.records.lock().await;
     let Ok((found, end)) = records.read(service).await else { return };
@@ -174,36 +174,36 @@
         let Some(it) = driven.get_mut(service) else { return };
         it.end = end;
         let offset = it.rollout.offset();
-        let of_order = found.filter(|it| it.order == offset);
-        if !take_in(shared, it, of_order.as_ref(), (begun, is_deaf)) {
+        let current = found.filter(|it| it.order == offset);
+        if !apply_record(shared, it, current.as_ref(), (begun, may_take_over)) {
             return;
         }
         it.checked = None;
-        // A store that has come back from an older copy may lack what this instance has recorded.
+        // A store restored from an older copy may lack the record of this instance.
         let own = it.is_mine.then_some(&it.rollout);
-        let recorded = of_order.as_ref().map_or(0, |it| it.spent);
+        let recorded_permits = current.as_ref().map_or(0, |it| it.spent);
         Record {
             order: offset,
             driver: shared.settings.instance.clone(),
             life: shared.own_peer().life,
             phase: own.map(|it| it.phase()).filter(|it| it.is_final()).unwrap_or_default(),
-            spent: own.map_or(0, |it| it.reserve()).max(recorded),
-            until: of_order
-                .map_or_else(|| on_wall(shared, it.rollout.order().until), |it| it.until),
+            spent: own.map_or(0, |it| it.reserve()).max(recorded_permits),
+            until: current
+                .map_or_else(|| to_unix_ms(shared, it.rollout.order().until), |it| it.until),
         }
     };
     match records.write(service, &claim, end).await {
-        Ok(end) => claimed(shared, service, &claim, (begun, end)),
-        Err(it) => unwritten(shared, service, "claim", it),
+        Ok(end) => claim_written(shared, service, &claim, (begun, end)),
+        Err(it) => log_unwritten(shared, service, "claim", it),
     }
 }
 
-/// Takes in what a record of the order says; whether this instance is to take the roll-out over.
-fn take_in(
+/// Applies a record of the order; returns whether this instance is to take the roll-out over.
+fn apply_record(
     shared: &IngressShared,
     driven: &mut Driven,
     record: Option<&Record>,
-    (begun, is_deaf): (Millis, bool),
+    (begun, may_take_over): (Millis, bool),
 ) -> bool {
     let Some(record) = record else { return true };
     let is_own = record.driver == shared.settings.instance && record.life == shared.own_peer().life;
@@ -217,7 +217,7 @@
         (driven.is_mine, driven.other, driven.checked) = (true, None, Some(begun));
         return false;
     }
-    if shared.peers.is_life(&record.driver, &record.life) && !is_deaf {
+    if shared.peers.is_life(&record.driver, &record.life) && !may_take_over {
         if driven.is_mine {
             let detail = format!("driver={} drives=false", record.driver);
             emit(events::ROLLOUT_DRIVER, &shared.settings.instance, &detail);
@@ -228,7 +228,12 @@
     true
 }
 
-fn claimed(shared: &IngressShared, service: &str, claim: &Record, (begun, end): (Millis, u64)) {
+fn claim_written(
+    shared: &IngressShared,
+    service: &str,
+    claim: &Record,
+    (begun, end): (Millis, u64),
+) {
     let mut driven = shared.rollouts.driven.lock();
     let Some(it) = driven.get_mut(service) else { return };
     if claim.phase.is_final() {
@@ -238,7 +243,7 @@
     let order = it.rollout.order().clone();
     let now = shared.clock.now();
     *it = Driven::new(now, order, shared.rollouts.bound, claim.spent);
-    it.rollout.end_by(now + claim.until.saturating_sub(wall_now()));
+    it.rollout.end_by(now + claim.until.saturating_sub(unix_now_ms()));
     (it.is_mine, it.checked, it.end) = (true, Some(begun), end);
     let left = it.rollout.order().until.saturating_sub(now);
     let detail = format!(
@@ -250,25 +255,26 @@
     emit(events::ROLLOUT_DRIVER, &shared.settings.instance, &detail);
 }
 
-/// The phase that has to begin now, if this instance may decide that.
-fn due(shared: &IngressShared, service: &str, is_withdrawn: bool) -> Option<(Phase, Reason)> {
-    let (old, new) = shared.rollouts.local.lock().get(service).map(|it| it.sides.open)?;
+/// The phase to enter now, if this instance is the confirmed driver.
+fn due_phase(shared: &IngressShared, service: &str, is_withdrawn: bool) -> Option<(Phase, Reason)> {
+    let (old, new) = shared.rollouts.local.lock().get(service).map(|it| it.targets.open_counts)?;
     let now = shared.clock.now();
     let mut driven = shared.rollouts.driven.lock();
-    let it = driven.get_mut(service).filter(|it| it.is_trusted(now))?;
-    let due = if is_withdrawn { it.rollout.withdrawn() } else { it.rollout.next(now, new, old) };
-    it.decided = due.as_ref().map(|it| it.0);
-    due
+    let it = driven.get_mut(service).filter(|it| it.is_confirmed(now))?;
+    let next = if is_withdrawn { it.rollout.withdrawn() } else { it.rollout.next(now, new, old) };
+    it.decided = next.as_ref().map(|it| it.0);
+    next
 }
 
-/// Records the end, or else the permits that are to be given, if more are needed; whether that is recorded.
+/// Records a final phase, or else a reservation of permits if more are needed. Returns whether a record
+/// was written.
 async fn record(shared: &Arc<IngressShared>, service: &str, end: Option<Phase>) -> bool {
     let mut records = shared.rollouts.records.lock().await;
     let begun = shared.clock.now();
     let (record, at) = {
         let driven = shared.rollouts.driven.lock();
         let Some(it) = driven.get(service) else { return false };
-        let reserve = it.rollout.reserve_due().filter(|_| it.is_trusted(begun));
+        let reserve = it.rollout.reserve_due().filter(|_| it.is_confirmed(begun));
         if end.is_none() && reserve.is_none() {
             return false;
         }
@@ -278,7 +284,7 @@
             life: shared.own_peer().life,
             phase: end.unwrap_or_default(),
             spent: reserve.unwrap_or(it.rollout.reserve()),
-            until: on_wall(shared, it.rollout.order().until),
+            until: to_unix_ms(shared, it.rollout.order().until),
         };
         (record, it.end)
     };
@@ -292,10 +298,10 @@
             true
         }
         Err(cause) => {
-            // Whether it was written is read before anything else is decided.
+            // Forces a read of the record before the next decision.
             it.checked = None;
             drop(driven);
-            unwritten(shared, service, "phase", cause);
+            log_unwritten(shared, service, "phase", cause);
             false
         }
     }
@@ -321,36 +327,36 @@
     emit(events::ROLLOUT_PHASE, &shared.settings.instance, &detail);
 }
 
-/// Tells operators where the roll-out stands, if they do not know.
-async fn tell(shared: &Arc<IngressShared>, service: &str) {
+/// Publishes the status to operators if it has changed.
+async fn publish_status(shared: &Arc<IngressShared>, service: &str) {
     let now = shared.clock.now();
     let (order, status) = {
         let driven = shared.rollouts.driven.lock();
-        let Some(it) = driven.get(service).filter(|it| it.is_trusted(now)) else { return };
+        let Some(it) = driven.get(service).filter(|it| it.is_confirmed(now)) else { return };
         let state = it.rollout.phase().state();
-        if it.told == Some(state) || !it.rollout.may_tell(now) {
+        if it.published == Some(state) || !it.rollout.may_tell(now) {
             return;
         }
         let version = it.rollout.order().version.clone();
         (it.rollout.offset(), Status { state, version })
     };
     let mut records = shared.rollouts.records.lock().await;
-    match records.tell(service, order, &status).await {
+    match records.write_status(service, order, &status).await {
         Ok(()) => {
             if let Some(it) = shared.rollouts.driven.lock().get_mut(service) {
-                it.told = Some(status.state);
+                it.published = Some(status.state);
             }
         }
-        Err(it) => unwritten(shared, service, "status", it),
+        Err(it) => log_unwritten(shared, service, "status", it),
     }
 }
 
-fn unwritten(shared: &IngressShared, service: &str, what: &str, cause: Unwritten) {
+fn log_unwritten(shared: &IngressShared, service: &str, what: &str, cause: WriteError) {
     let detail = format!("service={service} what={what} cause={cause:?}");
     emit(events::ROLLOUT_UNWRITTEN, &shared.settings.instance, &detail);
 }
 
-/// Takes in what an instance has seen, and tells it where the roll-out stands.
+/// Adds the report of an instance, and answers with the phase and its quota.
 pub(super) fn answer(
     shared: &Arc<IngressShared>,
     service: &str,
@@ -367,27 +373,30 @@
     if let (false, false, Some(other)) = (is_over, it.is_mine, &it.other) {
         return DriverAnswer::Other(other.clone());
     }
-    // Whoever has seen the order earlier knows its deadline better.
+    // The instance that saw the order first has the most accurate deadline.
     it.rollout.end_by(now + left_ms);
     it.rollout.tell(now, &instance, life, input);
-    if !is_over && !it.is_trusted(now) {
+    if !is_over && !it.is_confirmed(now) {
         return DriverAnswer::Nothing;
     }
     let quota = it.rollout.quota(&instance, life);
     let wanted = it.rollout.wanted();
-    DriverAnswer::Word(Word { offset, phase: it.phase_told(), quota, wanted })
+    DriverAnswer::Word(Word { offset, phase: it.reported_phase(), quota, wanted })
 }
 
-/// The record of a roll-out, where nothing was heard of it for a while.
-pub(super) async fn recorded(shared: &Arc<IngressShared>, service: &str) -> Option<Record> {
+/// Reads the record of a roll-out if the driver has sent no update for [`RECORD_READ_MS`].
+pub(super) async fn record_if_overdue(
+    shared: &Arc<IngressShared>,
+    service: &str,
+) -> Option<Record> {
     let now = shared.clock.now();
     let offset = {
         let mut local = shared.rollouts.local.lock();
         let it = local.get_mut(service)?;
-        if now < it.heard + QUIET_MS || now < it.looked + QUIET_MS {
+        if now < it.last_update + RECORD_READ_MS || now < it.last_read + RECORD_READ_MS {
             return None;
         }
-        it.looked = now;
+        it.last_read = now;
         it.gate.order().offset
     };
     let mut records = shared.rollouts.records.lock().await;
@@ -395,12 +404,12 @@
     record.filter(|it| it.order == offset)
 }
 
-/// A time of this instance's clock as the clock on the wall shows it.
-fn on_wall(shared: &IngressShared, time: Millis) -> Millis {
-    wall_now() + time.saturating_sub(shared.clock.now())
+/// Converts a time of this instance's clock to milliseconds of Unix time.
+fn to_unix_ms(shared: &IngressShared, time: Millis) -> Millis {
+    unix_now_ms() + time.saturating_sub(shared.clock.now())
 }
 
-fn wall_now() -> Millis {
+fn unix_now_ms() -> Millis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as Millis
 }
--- a/crates/holdpointd/src/ingress/rollouts/record.rs
+++ b/crates/holdpointd/src/ingress/rollouts/record.rs
@@ -1,6 +1,6 @@
-//! What must outlive the driver of a roll-out: its record in a topic of our own, and the status that
-//! operators read. Both are written under the condition that nobody else has written meanwhile, so of
-//! two drivers one wins, and one that was paused changes nothing when it wakes.
+//! Persistent state of a roll-out: the driver's record in an internal topic, and the status that operators
+//! read. Writes are conditional on the end of the topic, so that only one of two drivers succeeds, and a
+//! driver that resumes after a pause overwrites nothing.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,36 +19,36 @@
 
 use crate::ingress::store::{Eras, StoreClient, StoreError};
 
-/// What a driver records.
+/// State that a driver persists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Record {
     /// Offset of the order.
     pub(super) order: Horizon,
-    /// Instance that drives it, and its life.
+    /// Instance that drives it, and its incarnation.
     pub(super) driver: Name,
     pub(super) life: String,
-    /// How it has ended; waiting where it has not.
+    /// Final phase; `Waiting` while the roll-out is running.
     pub(super) phase: Phase,
-    /// Permits that are given, or may be.
+    /// Number of permits granted or reserved.
     pub(super) spent: u64,
-    /// When the order's time is over, by the clock on the wall, in milliseconds.
+    /// Deadline of the order, in milliseconds of Unix time.
     pub(super) until: Millis,
 }
 
 /// Why a record was not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unwritten {
-    /// Another one has written first.
+pub(super) enum WriteError {
+    /// Another writer was first.
     Fenced,
-    /// It may have been written or not.
+    /// The call of the store failed; whether the record was written is unknown.
     Store(StoreError),
 }
 
-impl From<StoreError> for Unwritten {
-    fn from(error: StoreError) -> Unwritten {
+impl From<StoreError> for WriteError {
+    fn from(error: StoreError) -> WriteError {
         match error {
-            StoreError::Refused(StatusCode::PRECONDITION_FAILED) => Unwritten::Fenced,
-            other => Unwritten::Store(other),
+            StoreError::Refused(StatusCode::PRECONDITION_FAILED) => WriteError::Fenced,
+            other => WriteError::Store(other),
         }
     }
 }
@@ -59,52 +59,52 @@
 }
 
 impl Records {
-    /// Makes one that has not connected yet.
+    /// Creates a client that is not connected yet.
     pub(super) fn new(settings: &IngressSettings, eras: Arc<Eras>) -> Records {
         let store = &settings.store;
         let timeout = Duration::from_millis(store.timeout_ms);
         Records { client: StoreClient::new(&store.address, timeout, eras) }
     }
 
-    /// Reads the record of a service, and where its topic ends.
+    /// Reads the record of a service and the end offset of its topic.
     pub(super) async fn read(
         &mut self,
         service: &str,
     ) -> Result<(Option<Record>, u64), StoreError> {
         let (records, end) = self.client.newest(ROLLOUTS_TOPIC).await?;
         let value = value_of(&records, service);
-        // A record that cannot be read is as good as none: whoever drives next writes a new one.
+        // An unreadable record is treated as missing: the next driver writes a new one.
         Ok((value.and_then(|it| serde_json::from_slice(it).ok()), end))
     }
 
-    /// Writes the record of a service if its topic still ends there; where it ends then.
+    /// Writes the record of a service if its topic still ends at `end`; returns the new end offset.
     pub(super) async fn write(
         &mut self,
         service: &str,
         record: &Record,
         end: u64,
-    ) -> Result<u64, Unwritten> {
+    ) -> Result<u64, WriteError> {
         let value = serde_json::to_vec(record).unwrap_or_default();
         self.client.append_at(ROLLOUTS_TOPIC, service, &value, end).await?;
         Ok(end + 1)
     }
 
-    /// Tells operators where a roll-out stands, unless its record is of another order by now.
-    pub(super) async fn tell(
+    /// Writes the status that operators read, unless the record belongs to another order.
+    pub(super) async fn write_status(
         &mut self,
         service: &str,
         order: Horizon,
         status: &Status,
-    ) -> Result<(), Unwritten> {
+    ) -> Result<(), WriteError> {
         let (statuses, end) = self.client.newest(STATUS_TOPIC).await?;
-        let told = value_of(&statuses, &key(service)).map(|it| parse_status(it));
-        if told.is_some_and(|it| it.as_ref() == Ok(status)) {
+        let published = value_of(&statuses, &key(service)).map(|it| parse_status(it));
+        if published.is_some_and(|it| it.as_ref() == Ok(status)) {
             return Ok(());
         }
-        // Read after the statuses: a driver of a later order writes its record before its status.
+        // Read after the statuses, as a driver of a later order writes its record before its status.
         let (record, _) = self.read(service).await?;
         if record.is_none_or(|it| it.order != order) {
-            return Err(Unwritten::Fenced);
+            return Err(WriteError::Fenced);
         }
         self.client.append_at(STATUS_TOPIC, &key(service), &status_bytes(status), end).await?;
         Ok(())
--- a/crates/holdpointd/src/ingress/rollouts/running.rs
+++ b/crates/holdpointd/src/ingress/rollouts/running.rs
@@ -1,4 +1,4 @@
-//! One request under way to a service of which a version is rolled out.
+//! A request in flight to a service with an active roll-out.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,12 +7,12 @@
 use holdpoint_platform::Instant;
 
 use crate::{
-    ingress::{context::Context, rollouts::side, shared::IngressShared},
+    ingress::{context::Context, rollouts::version_label, shared::IngressShared},
     metrics::label,
 };
 
-/// Counts a request that was sent, until it is dropped. One that is dropped without an answer, although
-/// it had the time in which answers are due, counts as silent: its caller has left, or its time is over.
+/// Counts a request as in flight until it is dropped. A request dropped without an answer after the time
+/// in which answers are due counts as silent: its caller has disconnected, or its deadline has passed.
 pub(crate) struct Running {
     shared: Arc<IngressShared>,
     target: TargetInstance,
@@ -30,7 +30,7 @@
 }
 
 impl Running {
-    /// Counts a request as sent; `None` where nothing is rolled out.
+    /// Counts a request as sent; `None` if the service has no roll-out.
     pub(crate) fn begin(ctx: &Context, target: &TargetInstance) -> Option<Running> {
         let rollouts = &ctx.shared.rollouts;
         if !rollouts.is_active() {
@@ -44,7 +44,7 @@
         if !is_new {
             it.gate.old_begun();
         }
-        let labels = [label("service", target.service.as_str()), side(is_new)];
+        let labels = [label("service", target.service.as_str()), version_label(is_new)];
         ctx.shared.metrics.rollout_sends.add(1, &labels);
         Some(Running {
             shared: ctx.shared.clone(),
