--- a/crates/holdpointd/src/ingress/quarantine.rs
+++ b/crates/holdpointd/src/ingress/quarantine.rs
@@ -1,10 +1,9 @@
-//! Requests that end the targets that run them: what this instance sees of them, tells others, and is
-//! told.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! The ends that requests met are gathered at one instance a service, its judge, since each instance
-//! sees only some of them. What is found is told to all instances at once, and kept in the store for
-//! those that start later. Neither needs the other: with the store away, instances tell each other; one
-//! that was cut off reads it in the store.
+//! Each instance sees only some crashes, so all report them to one instance per service, its judge.
+//! Verdicts are sent to all instances at once, and stored for those that start later. The two paths are
+//! independent: instances inform each other while the store is unavailable, and an instance that was cut
+//! off reads the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -36,27 +35,27 @@
     },
 };
 
-/// How long reports gather: all that a target ran breaks off within a few milliseconds, and connections
-/// that rested there are known to be closed after that.
-const GATHER: Duration = Duration::from_millis(20);
-/// How long the reports of an end come in from all instances before it is judged: whoever is judged first
-/// would explain the end that another one has caused.
-const SETTLE: Duration = Duration::from_millis(120);
-/// How often it is looked whether another instance judges by now, and what in the store is over.
-const REVIEW: Duration = Duration::from_millis(1000);
-/// Pause before what was not told, or not written, is told again.
-const PAUSE: Duration = Duration::from_millis(250);
-/// How often reports are told before they are left for the next review.
-const TELLS: u32 = 3;
-/// Most ends that are told at once: of a judge that has just begun, all that are known.
-const MOST_TOLD: usize = 2048;
-
-/// How a request's run ended, for the judge.
+/// How long broken connections and reports are collected. All connections to a crashed target break within
+/// a few milliseconds, and after that its idle connections are known to be closed.
+const COLLECT_DELAY: Duration = Duration::from_millis(20);
+/// How long a judge waits for the reports of all instances on a crash. With only some of them, the crash
+/// might be attributed to the wrong request.
+const JUDGE_DELAY: Duration = Duration::from_millis(120);
+/// Interval of the checks for changed judges and for expired entries in the store.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(1000);
+/// Pause before a failed report is sent again; a failed write to the store waits four times as long.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Attempts to send reports before they are left to the next review.
+const REPORT_ATTEMPTS: u32 = 3;
+/// Most known crashes that are sent to a new judge.
+const MAX_RESENT_CRASHES: usize = 2048;
+
+/// Result of running a request at a target, as reported to the judge.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum RunReport {
-    /// Its target has ended.
+    /// The target has crashed.
     Ended(EndedRun),
-    /// It ran to a good end at a service, after targets had ended under it.
+    /// A suspect request was completed at a service.
     Passed(Fingerprint, Name),
 }
 
@@ -69,30 +68,30 @@
     }
 }
 
-/// A held request in the store.
+/// A quarantined request as stored.
 #[derive(Debug, Serialize, Deserialize)]
-struct StoredHold {
-    /// Until when it is held, in milliseconds of Unix time.
+struct StoredQuarantine {
+    /// End of the quarantine, in milliseconds of Unix time.
     until: Millis,
 }
 
-/// What an instance knows of requests that end their targets.
+/// State of the quarantine at this instance.
 pub(crate) struct Quarantines {
     state: Mutex<Quarantine>,
-    /// Holds as they stand in the store, by key.
+    /// Quarantined requests in the store, by key.
     stored: Mutex<BTreeMap<String, Bytes>>,
-    /// Runs that broke off, with the targets that may have ended.
-    broken: Mutex<HashMap<Life, (TargetInstance, Vec<EndedRun>)>>,
+    /// Runs whose connection broke, by incarnation of the target, which may have crashed.
+    broken_runs: Mutex<HashMap<Life, (TargetInstance, Vec<EndedRun>)>>,
     reports: Mutex<Vec<RunReport>>,
-    /// Requests that are held no more, of which the others are to be told.
+    /// Requests whose release is still to be sent to the other instances.
     released: Mutex<Vec<Fingerprint>>,
     has_reports: Notify,
-    to_judge: Notify,
-    /// Address of who was last told of a service's ends: empty where nobody was, none where that was this
-    /// instance.
+    judge_due: Notify,
+    /// Address of the judge that last received the reports on a service: empty if the last attempt failed,
+    /// `None` if this instance is the judge.
     judges: Mutex<HashMap<Name, Option<String>>>,
-    /// Sent whenever a request is held.
-    has_held: watch::Sender<()>,
+    /// Signalled whenever a request is quarantined.
+    quarantine_added: watch::Sender<()>,
 }
 
 impl Default for Quarantines {
@@ -100,30 +99,30 @@
         Quarantines {
             state: Mutex::default(),
             stored: Mutex::default(),
-            broken: Mutex::default(),
+            broken_runs: Mutex::default(),
             reports: Mutex::default(),
             released: Mutex::default(),
             has_reports: Notify::new(),
-            to_judge: Notify::new(),
+            judge_due: Notify::new(),
             judges: Mutex::default(),
-            has_held: watch::Sender::new(()),
+            quarantine_added: watch::Sender::new(()),
         }
     }
 }
 
 impl Quarantines {
-    /// Takes in that the connection broke off on which a target ran a request.
+    /// Records that the connection to a target broke while the target ran a request.
     pub(crate) fn broke_off(&self, fingerprint: Fingerprint, target: &TargetInstance) {
         let life = Life { target: target.id.clone(), born: target.born.unwrap_or(0) };
         let run = EndedRun { fingerprint, service: target.service.clone(), life: life.clone() };
-        let mut broken = self.broken.lock();
-        broken.entry(life).or_insert_with(|| (target.clone(), Vec::new())).1.push(run);
-        drop(broken);
+        let mut broken_runs = self.broken_runs.lock();
+        broken_runs.entry(life).or_insert_with(|| (target.clone(), Vec::new())).1.push(run);
+        drop(broken_runs);
         self.has_reports.notify_one();
     }
 
-    /// Takes in that a target has ended while it ran some requests.
-    fn ended(&self, now: Millis, runs: Vec<EndedRun>) {
+    /// Records that a target has crashed while it ran these requests.
+    fn target_crashed(&self, now: Millis, runs: Vec<EndedRun>) {
         for run in runs {
             if self.state.lock().ended(now, run.clone()) {
                 self.report(RunReport::Ended(run));
@@ -131,8 +130,8 @@
         }
     }
 
-    /// Takes in that a request ran to a good end at a service. Its fingerprint is made only where some
-    /// request is suspect.
+    /// Records that a service has completed a request. The fingerprint is computed only if some request is
+    /// suspect.
     pub(crate) fn passed(&self, service: &str, fingerprint: impl FnOnce() -> Fingerprint) {
         let mut state = self.state.lock();
         if state.is_empty() {
@@ -152,8 +151,8 @@
         self.has_reports.notify_one();
     }
 
-    /// For how much longer a request is held, in milliseconds; `None` where it is not.
-    pub(crate) fn held_ms(
+    /// Remaining quarantine of a request, in milliseconds; `None` if it is not quarantined.
+    pub(crate) fn left_ms(
         &self,
         now: Millis,
         fingerprint: impl FnOnce() -> Fingerprint,
@@ -165,12 +164,12 @@
         state.held_ms(now, fingerprint())
     }
 
-    /// Whether a request's pieces go in calls of their own.
+    /// Whether a request's work items must not share a call with those of other requests.
     pub(crate) fn runs_alone(&self, fingerprint: Option<Fingerprint>) -> bool {
         fingerprint.is_some_and(|it| self.state.lock().runs_alone(it))
     }
 
-    /// Holds as they stand in the store, by key.
+    /// Quarantined requests in the store, by key.
     pub(crate) fn stored(&self) -> Vec<(String, Bytes)> {
         self.stored.lock().iter().map(|(key, value)| (key.clone(), value.clone())).collect()
     }
@@ -184,37 +183,37 @@
     }
 }
 
-/// Tells the judges what was seen, and finds out what there is to find, until the task is dropped.
+/// Sends reports to the judges, and judges the services of this instance, until the task is dropped.
 pub(crate) async fn run(shared: Arc<IngressShared>) {
     let quarantines = &shared.quarantines;
-    let mut review = interval(REVIEW);
+    let mut timer = interval(REVIEW_INTERVAL);
     loop {
         tokio::select! {
             () = quarantines.has_reports.notified() => {
-                sleep(GATHER).await;
-                let broken = std::mem::take(&mut *quarantines.broken.lock());
-                for (target, runs) in broken.into_values() {
+                sleep(COLLECT_DELAY).await;
+                let broken_runs = std::mem::take(&mut *quarantines.broken_runs.lock());
+                for (target, runs) in broken_runs.into_values() {
                     tokio::spawn(check_target(shared.clone(), target, runs));
                 }
                 let released = std::mem::take(&mut *quarantines.released.lock());
                 publish(&shared, released.into_iter().map(Verdict::Release).collect());
-                quarantines.to_judge.notify_one();
+                quarantines.judge_due.notify_one();
                 for (service, reports) in quarantines.take_reports() {
-                    tokio::spawn(tell_judge(shared.clone(), service, reports));
+                    tokio::spawn(report_to_judge(shared.clone(), service, reports));
                 }
             }
-            () = quarantines.to_judge.notified() => {
-                sleep(SETTLE).await;
-                let found = quarantines.state.lock().judge(shared.clock.now());
-                publish(&shared, found);
+            () = quarantines.judge_due.notified() => {
+                sleep(JUDGE_DELAY).await;
+                let verdicts = quarantines.state.lock().judge(shared.clock.now());
+                publish(&shared, verdicts);
             }
-            _ = review.tick() => review_judges(&shared),
+            _ = timer.tick() => review(&shared),
         }
     }
 }
 
-/// Takes requests for suspect whose target has ended. One that is still there has broken off a single
-/// connection: a request that four such targets had failed in turn was held, with no target ended.
+/// Treats requests as suspect if their target has crashed. A target that is still reachable has only broken
+/// a connection.
 async fn check_target(shared: Arc<IngressShared>, target: TargetInstance, runs: Vec<EndedRun>) {
     let reach = shared.connections.reach(&target).await;
     let detail = format!(
@@ -226,64 +225,66 @@
     );
     emit(events::TARGET_LOOKED_FOR, &shared.settings.instance, &detail);
     if reach == Reach::None {
-        shared.quarantines.ended(shared.clock.now(), runs);
+        shared.quarantines.target_crashed(shared.clock.now(), runs);
     }
 }
 
-/// The instance that judges a service's ends; `None` where this one does.
+/// Address of the judge of a service; `None` if this instance is the judge.
 fn judge_of(shared: &IngressShared, service: &str) -> Option<String> {
     shared.peers.owner_of(Owners::Any, &format!("{KEY_PREFIX}{service}"))
 }
 
-/// Tells a service's judge what this instance has seen; one that has just begun, all of it.
-async fn tell_judge(shared: Arc<IngressShared>, service: Name, reports: Vec<RunReport>) {
-    for _ in 0..TELLS {
+/// Sends reports to a service's judge. A new judge also gets the crashes known before.
+async fn report_to_judge(shared: Arc<IngressShared>, service: Name, reports: Vec<RunReport>) {
+    for _ in 0..REPORT_ATTEMPTS {
         let judge = judge_of(&shared, &service);
-        let before = shared.quarantines.judges.lock().insert(service.clone(), judge.clone());
+        let previous = shared.quarantines.judges.lock().insert(service.clone(), judge.clone());
         let Some(address) = judge else { return };
-        let mut told = reports.clone();
-        if before != Some(Some(address.clone())) {
+        let mut outgoing = reports.clone();
+        if previous != Some(Some(address.clone())) {
             let state = shared.quarantines.state.lock();
-            told.extend(state.ends_at(&service).take(MOST_TOLD).cloned().map(RunReport::Ended));
+            outgoing.extend(
+                state.ends_at(&service).take(MAX_RESENT_CRASHES).cloned().map(RunReport::Ended),
+            );
         }
         if shared.peers.protocol_of(&address) < QUARANTINES {
             return;
         }
-        if shared.peers.report_runs(&shared, &address, told).await.is_ok() {
+        if shared.peers.report_runs(&shared, &address, outgoing).await.is_ok() {
             return;
         }
-        // Nobody was told, so that the next review tells all.
+        // An empty address makes the next review send everything.
         shared.quarantines.judges.lock().insert(service.clone(), Some(String::new()));
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Forgets what is over, here and in the store, and tells new judges what the ones before knew.
-fn review_judges(shared: &Arc<IngressShared>) {
+/// Removes expired entries here and in the store, and sends the known crashes to new judges.
+fn review(shared: &Arc<IngressShared>) {
     let quarantines = &shared.quarantines;
     quarantines.state.lock().forget(shared.clock.now());
-    let told: Vec<Name> = quarantines.judges.lock().keys().cloned().collect();
-    for service in told {
+    let services: Vec<Name> = quarantines.judges.lock().keys().cloned().collect();
+    for service in services {
         let is_same = quarantines.judges.lock().get(&service) == Some(&judge_of(shared, &service));
         if !is_same && quarantines.state.lock().ends_at(&service).next().is_some() {
-            tokio::spawn(tell_judge(shared.clone(), service, Vec::new()));
+            tokio::spawn(report_to_judge(shared.clone(), service, Vec::new()));
         }
     }
     let now = unix_ms();
-    let is_over = |value: &Bytes| read_hold(value).is_none_or(|it| it.until <= now);
-    let over: Vec<String> = quarantines
+    let is_expired = |value: &Bytes| parse_stored(value).is_none_or(|it| it.until <= now);
+    let expired: Vec<String> = quarantines
         .stored
         .lock()
         .iter()
-        .filter(|it| is_over(it.1))
+        .filter(|it| is_expired(it.1))
         .map(|it| it.0.clone())
         .collect();
-    if !over.is_empty() && judge_of(shared, "").is_none() {
-        over.into_iter().for_each(|it| drop(tokio::spawn(write(shared.clone(), it, None))));
+    if !expired.is_empty() && judge_of(shared, "").is_none() {
+        expired.into_iter().for_each(|it| drop(tokio::spawn(write(shared.clone(), it, None))));
     }
 }
 
-/// Takes in, as their judge, what another instance has seen.
+/// Applies the reports of another instance, as their judge.
 pub(crate) fn take_reports(shared: &Arc<IngressShared>, reports: Vec<RunReport>) {
     let now = shared.clock.now();
     let mut released = Vec::new();
@@ -300,21 +301,21 @@
     }
     drop(state);
     publish(shared, released);
-    shared.quarantines.to_judge.notify_one();
+    shared.quarantines.judge_due.notify_one();
 }
 
-/// Takes in what another instance has found.
+/// Applies the verdicts of another instance or of the store.
 pub(crate) fn take_verdicts(shared: &IngressShared, verdicts: Vec<Verdict>, source: &str) {
     let now = shared.clock.now();
     for it in verdicts {
         if shared.quarantines.state.lock().told(now, it) {
-            note(shared, it, source);
+            log_verdict(shared, it, source);
         }
     }
 }
 
-/// Logs what was found, and has requests in flight look whether they are held.
-fn note(shared: &IngressShared, verdict: Verdict, source: &str) {
+/// Logs a verdict, and makes requests in flight check whether they are quarantined.
+fn log_verdict(shared: &IngressShared, verdict: Verdict, source: &str) {
     let instance = &shared.settings.instance;
     match verdict {
         Verdict::Watch(_) => (),
@@ -322,7 +323,7 @@
             let detail = format!("fingerprint={fingerprint} for_ms={ms} source={source}");
             emit(events::QUARANTINED, instance, &detail);
             shared.metrics.quarantined.add(1, &[]);
-            shared.quarantines.has_held.send_replace(());
+            shared.quarantines.quarantine_added.send_replace(());
         }
         Verdict::Release(fingerprint) => {
             let detail = format!("fingerprint={fingerprint} source={source}");
@@ -331,17 +332,17 @@
     }
 }
 
-/// Tells all instances what was found here, and keeps it in the store.
+/// Sends verdicts of this instance to all others, and stores them.
 fn publish(shared: &Arc<IngressShared>, verdicts: Vec<Verdict>) {
     if verdicts.is_empty() {
         return;
     }
     for it in &verdicts {
-        note(shared, *it, "own");
+        log_verdict(shared, *it, "own");
         match *it {
             Verdict::Watch(_) => (),
             Verdict::Hold(it, ms) => {
-                let value = serde_json::to_vec(&StoredHold { until: unix_ms() + ms });
+                let value = serde_json::to_vec(&StoredQuarantine { until: unix_ms() + ms });
                 let value = Bytes::from(value.unwrap_or_default());
                 tokio::spawn(write(shared.clone(), key_of(it), Some(value)));
             }
@@ -352,39 +353,39 @@
     tokio::spawn(async move {
         let peers = shared.peers.all().into_iter().filter(|it| QUARANTINES <= it.1.protocol);
         let peers: Vec<String> = peers.map(|it| it.1.address).collect();
-        let tell = |address: String| {
+        let send = |address: String| {
             let (shared, verdicts) = (&shared, verdicts.clone());
-            // Whoever is not told reads it in the store.
+            // An instance that cannot be reached reads the store.
             async move { shared.peers.tell_verdicts(shared, &address, verdicts).await }
         };
-        peers.into_iter().map(tell).collect::<FuturesUnordered<_>>().count().await;
+        peers.into_iter().map(send).collect::<FuturesUnordered<_>>().count().await;
     });
 }
 
-/// Writes again what is held here and the store may have lost, as it has come back from an older copy. A
-/// request that was released meanwhile is not held here any more.
+/// Writes quarantined requests again that the store may have lost, as it was restored from an older copy.
+/// Requests released since then are no longer in the local list.
 pub(crate) fn store_returned(shared: &Arc<IngressShared>) {
     for (key, value) in shared.quarantines.stored() {
-        let begun = read_hold(&value).map_or(0, |it| it.until.saturating_sub(HOLD_MS));
-        let is_lost = unix_ms() < begun + LOST_TAIL_MS;
+        let quarantined_at = parse_stored(&value).map_or(0, |it| it.until.saturating_sub(HOLD_MS));
+        let is_lost = unix_ms() < quarantined_at + LOST_TAIL_MS;
         if is_lost && judge_of(shared, "").is_none() {
             tokio::spawn(write(shared.clone(), key, Some(value)));
         }
     }
 }
 
-/// Writes a hold to the store, or drops it there, until the store takes it or it is over.
+/// Writes a quarantined request to the store, or deletes it there. Retries for at most [`HOLD_MS`].
 async fn write(shared: Arc<IngressShared>, key: String, value: Option<Bytes>) {
     let store = &shared.settings.store;
     let timeout = Duration::from_millis(store.timeout_ms);
     let mut client = StoreClient::new(&store.address, timeout, shared.eras.clone());
-    let begun = shared.clock.now();
+    let started_at = shared.clock.now();
     let bytes = value.unwrap_or_default();
     while client.append(RESOURCES_TOPIC, &key, &bytes).await.is_err() {
-        if begun + HOLD_MS < shared.clock.now() {
+        if started_at + HOLD_MS < shared.clock.now() {
             return;
         }
-        sleep(PAUSE * 4).await;
+        sleep(RETRY_PAUSE * 4).await;
     }
 }
 
@@ -392,18 +393,18 @@
     format!("{KEY_PREFIX}{fingerprint}")
 }
 
-fn read_hold(value: &[u8]) -> Option<StoredHold> {
+fn parse_stored(value: &[u8]) -> Option<StoredQuarantine> {
     serde_json::from_slice(value).ok()
 }
 
 fn unix_ms() -> Millis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    // Before 1970, everything in the store seems to lie in the future, and is bounded where it is used.
+    // With a clock before 1970, all times in the store lie in the future; they are bounded where used.
     since.map_or(0, |it| it.as_millis() as Millis)
 }
 
-/// Takes in what the store has under a key, if that is of a held request; whether it is, and whether it
-/// is new.
+/// Applies an entry of the store. Returns `None` if the key is not that of a quarantined request, else
+/// whether the entry has changed.
 pub(crate) fn set_stored(shared: &IngressShared, key: &str, value: Option<Bytes>) -> Option<bool> {
     let fingerprint: Fingerprint = key.strip_prefix(KEY_PREFIX)?.parse().ok()?;
     let mut stored = shared.quarantines.stored.lock();
@@ -412,7 +413,7 @@
     }
     let verdict = match &value {
         Some(it) => {
-            let left = read_hold(it).map_or(0, |it| it.until.saturating_sub(unix_ms()));
+            let left = parse_stored(it).map_or(0, |it| it.until.saturating_sub(unix_ms()));
             (left != 0).then_some(Verdict::Hold(fingerprint, left))
         }
         None => Some(Verdict::Release(fingerprint)),
@@ -427,30 +428,30 @@
 }
 
 impl Context {
-    /// Takes in that the connection broke off on which a target ran the request.
+    /// Records that the connection to a target broke while the target ran the request.
     pub(crate) fn broke_off(&self, target: &TargetInstance) {
         self.shared.quarantines.broke_off(self.fingerprint(), target);
     }
 
-    /// Takes in that the request ran to a good end.
+    /// Records that the request was completed.
     pub(crate) fn has_passed(&self) {
         self.shared.quarantines.passed(&self.service, || self.fingerprint());
     }
 
-    /// For how much longer the request is held, since it ended its targets.
+    /// Remaining quarantine of the request; `None` if it is not quarantined.
     pub(crate) fn held_for(&self) -> Option<Duration> {
-        let held = self.shared.quarantines.held_ms(self.shared.clock.now(), || self.fingerprint());
-        held.map(Duration::from_millis)
+        let left = self.shared.quarantines.left_ms(self.shared.clock.now(), || self.fingerprint());
+        left.map(Duration::from_millis)
     }
 
-    /// Waits until the request is held.
+    /// Waits until the request is quarantined.
     pub(crate) async fn is_held(&self) {
-        let mut has_held = self.shared.quarantines.has_held.subscribe();
+        let mut quarantine_added = self.shared.quarantines.quarantine_added.subscribe();
         // The sender lives as long as the instance.
-        while self.held_for().is_none() && has_held.changed().await.is_ok() {}
+        while self.held_for().is_none() && quarantine_added.changed().await.is_ok() {}
     }
 
-    /// Refuses the request where it is held.
+    /// Refuses the request if it is quarantined.
     pub(crate) fn refuse_held(&self) -> Option<Answer> {
         let left = self.held_for()?;
         let detail = format!(
