--- a/crates/holdpointd/src/ingress/regions.rs
+++ b/crates/holdpointd/src/ingress/regions.rs
@@ -1,5 +1,5 @@
-//! Regions of the deployment as an instance sees them: which one serves a request, and which instance
-//! batches and places for a service there.
+//! Regions of the deployment as an instance sees them: which region serves a request, and which instance
+//! there does batching and placement for a service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,26 +18,25 @@
 
 use crate::ingress::{peers::Owners, shared::IngressShared, spill::Spill};
 
-/// Time that the way to another region and back takes, in milliseconds, until it is measured: that
-/// between regions of one continent.
+/// Assumed round-trip time to another region, in milliseconds: that between regions of one continent.
 pub(crate) const FAR_REGION_MS: u64 = 60;
 
-/// What an instance knows of the regions.
+/// State of the regions at this instance.
 #[derive(Debug)]
 pub(crate) struct Regions {
     targets: ArcSwap<ServiceRegions>,
-    /// What was lent and borrowed between regions.
+    /// Capacity lent and borrowed between regions.
     pub(crate) spill: Spill,
 }
 
 impl Regions {
-    /// Makes the regions of an instance that knows no targets yet.
+    /// Creates the state without targets.
     pub(crate) fn new(settings: &IngressSettings) -> Regions {
         let spill = Spill::new(settings.region_link_mbps);
         Regions { targets: ArcSwap::default(), spill }
     }
 
-    /// Takes in the targets of all services.
+    /// Updates the usable targets of each region from the directory.
     pub(crate) fn set_targets(
         &self,
         directory: &Directory,
@@ -62,9 +61,9 @@
     }
 }
 
-/// The region that serves a request: the own one where it has targets of all services that the request
-/// needs, else another one that has them, and an instance to batch and place there.
-/// Only regions within the request's bounds are asked.
+/// The region that serves a request, within its bounds: the own region if it has targets of all services
+/// that the request needs, else another region that has them and a live instance. If there is none, the own
+/// region or, if that is outside the bounds, the first allowed one.
 pub(crate) fn home(
     shared: &IngressShared,
     route: &IngressRoute,
@@ -79,22 +78,22 @@
     if is_own_allowed && shared.regions.serves(own, route, service) {
         return own.to_owned();
     }
-    let usual = || {
+    let fallback = || {
         let all = shared.topology.all().into_iter();
         let region = all.filter(|it| is_allowed(within, it)).find(|_| !is_own_allowed);
         region.unwrap_or(own).to_owned()
     };
-    others_that_serve(shared, route, service, within).next().unwrap_or_else(usual)
+    other_regions_serving(shared, route, service, within).next().unwrap_or_else(fallback)
 }
 
-/// Whether a request with some bounds may be served in a region.
+/// Whether the bounds of a request allow a region.
 fn is_allowed(within: &Within, region: &str) -> bool {
     within.as_ref().is_none_or(|it| it.allows_region(region))
 }
 
-/// The other regions that have targets of all services that a request needs, and an instance to batch
-/// and place there, within the request's bounds.
-pub(crate) fn others_that_serve<'a>(
+/// The other regions within the request's bounds that have a live instance and targets of all services that
+/// the request needs.
+pub(crate) fn other_regions_serving<'a>(
     shared: &'a IngressShared,
     route: &'a IngressRoute,
     service: &'a str,
@@ -106,15 +105,15 @@
     others.filter(move |it| serves(it) && shared.peers.has_live_in(it)).map(str::to_owned)
 }
 
-/// The peer that batches and places for a service in a region; `None` where this instance does, also
-/// since there is nobody else.
+/// The peer that does batching and placement for a service in a region; `None` if this instance does, also
+/// for lack of a peer.
 pub(crate) fn batcher_of(shared: &IngressShared, region: &str, service: &str) -> Option<String> {
     let owners = if shared.topology.is_split() { Owners::Of(region) } else { Owners::Any };
     shared.peers.batcher_of(owners, service)
 }
 
-/// The same for a request with some bounds: a peer outside of them, or one that would not keep to them,
-/// is not asked.
+/// Like [`batcher_of`], for a request with bounds: `None` also if the peer is outside the bounds or does not
+/// support them.
 pub(crate) fn owner_of(
     shared: &IngressShared,
     region: &str,
@@ -122,17 +121,17 @@
     within: &Within,
 ) -> Option<String> {
     let owner = batcher_of(shared, region, service)?;
-    let may_work = |it: &Bounds| shared.peers.is_confined_to(&owner, it);
-    within.as_ref().is_none_or(|it| may_work(it)).then_some(owner)
+    let is_confined = |it: &Bounds| shared.peers.is_confined_to(&owner, it);
+    within.as_ref().is_none_or(|it| is_confined(it)).then_some(owner)
 }
 
-/// The peer that batches for a service in this instance's region; `None` where this instance does.
+/// The peer that does batching for a service in the own region; `None` if this instance does.
 pub(crate) fn own_batcher_of(shared: &IngressShared, service: &str) -> Option<String> {
     batcher_of(shared, shared.topology.own_region(), service)
 }
 
-/// The region whose batcher keeps account of a result, by the address of the target that made it: the
-/// target's own.
+/// The region whose batcher tracks a result: that of the target at address `maker`, which produced it; the
+/// own region if the target is not known.
 pub(crate) fn keeper_region(shared: &IngressShared, maker: Option<&str>) -> Name {
     let own = || shared.topology.own_region().to_owned();
     if !shared.topology.is_split() {
@@ -143,7 +142,7 @@
     region.unwrap_or_else(own)
 }
 
-/// Time limit of a call to whoever works for a region, where one within the own region has `near`.
+/// Timeout of a call to a peer that works for a region; `near` is that of a call within the own region.
 pub(crate) fn limit_for(shared: &IngressShared, region: &str, near: Duration) -> Duration {
     let is_own = !shared.topology.is_split() || region == shared.topology.own_region();
     if is_own { near } else { near + Duration::from_millis(FAR_REGION_MS) }
--- a/crates/holdpointd/src/ingress/spill.rs
+++ b/crates/holdpointd/src/ingress/spill.rs
@@ -1,8 +1,9 @@
-//! Sends requests that the own region cannot serve in time to another region, whole and before any
-//! work was done for them.
+//! Sends requests that the own region cannot serve in time to another region, as a whole and before any
+//! work is done for them.
 //!
-//! The instance that a caller has reached decides. It takes places for all pieces of the request from
-//! the owners of the services in its own region, which borrow them from the owners in the other one.
+//! The instance that received the request decides. It takes places (capacity for one work item each) for
+//! the whole request from the owners of the services in its own region. These owners borrow places from
+//! the owners in the other region.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -21,35 +22,34 @@
     ingress::{
         context::Context,
         peers::PLACE_LIMIT,
-        regions::{FAR_REGION_MS, batcher_of, limit_for, others_that_serve, own_batcher_of},
+        regions::{FAR_REGION_MS, batcher_of, limit_for, other_regions_serving, own_batcher_of},
         shared::IngressShared,
         stages::{first_event_ms, stage_ms, usual_ms},
     },
     metrics::label,
 };
 
-/// How often places that are wanted are asked for in another region.
-const EXCHANGE: Duration = Duration::from_millis(100);
-/// Part of the link between regions that requests of another region may use; the rest is for the
-/// instances' state, and for what was sent there before.
+/// Interval at which missing places are requested from other regions.
+const BORROW_INTERVAL: Duration = Duration::from_millis(100);
+/// Fraction of the bandwidth between regions that spilled requests may use. The rest is for state exchanged
+/// between instances, and for requests that were sent there before.
 const LINK_SHARE: f64 = 0.3;
 
-/// A service of another region.
-type Elsewhere = (Name, Name);
+/// A service and the other region that it is in.
+type RemoteService = (Name, Name);
 
-/// What an instance has lent and borrowed as the owner of services, and what it may send to another
-/// region.
+/// Capacity that an instance has lent and borrowed as the owner of services, and its budget of bandwidth to
+/// other regions.
 #[derive(Debug)]
 pub(crate) struct Spill {
     lenders: Mutex<HashMap<Name, Lender>>,
-    borrowers: Mutex<HashMap<Elsewhere, Borrower>>,
+    borrowers: Mutex<HashMap<RemoteService, Borrower>>,
     link: Mutex<LinkBudget>,
     link_mbps: f64,
 }
 
 impl Spill {
-    /// Makes the state of an instance that has lent and borrowed nothing; a link of 0 Mbit/s is one that
-    /// is not stated.
+    /// Creates the state without leases; `link_mbps` of 0 means that the bandwidth is not configured.
     pub(crate) fn new(link_mbps: f64) -> Spill {
         Spill {
             lenders: Mutex::default(),
@@ -59,18 +59,20 @@
         }
     }
 
-    /// Whether requests go to another region for want of capacity: only where the link between them is
-    /// stated, since on a busy one they would hold up the instances' state.
-    pub(crate) fn is_on(&self) -> bool {
+    /// Whether requests may go to another region for lack of capacity. This needs a configured bandwidth, as
+    /// spilled requests on a saturated link would delay the state exchanged between instances.
+    pub(crate) fn is_enabled(&self) -> bool {
         self.link_mbps != 0.0
     }
 
-    /// Takes places at a service of another region that were borrowed; how long the stage takes there.
-    pub(crate) fn take(&self, now: Millis, elsewhere: Elsewhere, places: u32) -> Option<Millis> {
-        self.borrowers.lock().entry(elsewhere).or_default().take(now, places)
+    /// Takes borrowed places at a service of another region; returns the usual duration of the stage there,
+    /// in milliseconds, or `None` if too few places are left.
+    pub(crate) fn take(&self, now: Millis, remote: RemoteService, places: u32) -> Option<Millis> {
+        self.borrowers.lock().entry(remote).or_default().take(now, places)
     }
 
-    /// Lends places of a service to another region.
+    /// Lends spare places of a service to another region; an empty lease if this instance is not the owner
+    /// or the service has no stage.
     pub(crate) fn lend(&self, shared: &IngressShared, service: &str, wanted: u32) -> Lease {
         let now = shared.clock.now();
         let is_owner = own_batcher_of(shared, service).is_none();
@@ -90,18 +92,18 @@
         lease
     }
 
-    /// What is wanted of other regions.
-    fn wanted(&self, now: Millis) -> Vec<(Elsewhere, u32)> {
+    /// Number of places to request from each service of other regions.
+    fn wanted(&self, now: Millis) -> Vec<(RemoteService, u32)> {
         let borrowers = self.borrowers.lock();
         let wanted = borrowers.iter().map(|it| (it.0.clone(), it.1.wanted(now)));
         wanted.filter(|it| it.1 != 0).collect()
     }
 
-    fn receive(&self, asked_at: Millis, elsewhere: Elsewhere, lease: Lease) {
-        self.borrowers.lock().entry(elsewhere).or_default().receive(asked_at, lease);
+    fn receive(&self, asked_at: Millis, remote: RemoteService, lease: Lease) {
+        self.borrowers.lock().entry(remote).or_default().receive(asked_at, lease);
     }
 
-    /// Spends bytes of the link to another region, if this instance may.
+    /// Spends bytes of the link's budget; returns whether they were left.
     fn spend(&self, shared: &IngressShared, bytes: u64) -> bool {
         let mut link = self.link.lock();
         link.set_users(self.link_mbps, LINK_SHARE, shared.peers.near_count());
@@ -109,59 +111,59 @@
     }
 }
 
-/// Borrows what is wanted of other regions, until the task is dropped.
+/// Borrows missing places from other regions, until the task is dropped.
 pub(crate) async fn run(shared: Arc<IngressShared>) {
-    let mut tick = interval(EXCHANGE);
+    let mut tick = interval(BORROW_INTERVAL);
     loop {
         tick.tick().await;
         let now = shared.clock.now();
-        let asked = shared.regions.spill.wanted(now).into_iter();
-        join_all(asked.map(|(elsewhere, wanted)| borrow(&shared, elsewhere, wanted))).await;
+        let missing = shared.regions.spill.wanted(now).into_iter();
+        join_all(missing.map(|(remote, wanted)| borrow(&shared, remote, wanted))).await;
     }
 }
 
-/// Asks the owner of a service in another region for places.
-async fn borrow(shared: &Arc<IngressShared>, elsewhere: Elsewhere, wanted: u32) {
-    let (service, region) = &elsewhere;
+/// Requests places from the owner of a service in another region.
+async fn borrow(shared: &Arc<IngressShared>, remote: RemoteService, wanted: u32) {
+    let (service, region) = &remote;
     let Some(address) = batcher_of(shared, region, service) else { return };
     let limit = limit_for(shared, region, PLACE_LIMIT);
     let asked_at = shared.clock.now();
-    let lent = shared.peers.lend(shared, &address, service, wanted, limit).await;
-    let lease = lent.unwrap_or_default();
+    let res = shared.peers.lend(shared, &address, service, wanted, limit).await;
+    let lease = res.unwrap_or_default();
     let detail = format!(
         "service={service} region={region} wanted={wanted} places={} usual_ms={}",
         lease.places, lease.usual_ms
     );
     emit(events::PLACES_BORROWED, &shared.settings.instance, &detail);
-    shared.regions.spill.receive(asked_at, elsewhere, lease);
+    shared.regions.spill.receive(asked_at, remote, lease);
 }
 
-/// Has another region serve a request that would be late in its own one and in time there.
+/// Sends a request to another region if it would be late in its own region and in time there.
 pub(crate) async fn leave_if_late(ctx: &Context) {
-    let Some(graph) = may_leave(ctx) else { return };
+    let Some(graph) = spillable_stages(ctx) else { return };
     let here = |stage: usize| usual_ms(ctx, service_of(ctx, stage));
     let here_ms = first_event_ms(ctx) + chain_ms(&graph, &here);
     if left_ms(ctx) < here_ms {
-        leave(ctx, &graph, here_ms).await;
+        try_spill(ctx, &graph, here_ms).await;
     }
 }
 
-/// Has another region serve a request that was refused in its own one and would be in time there;
-/// whether one does.
+/// Sends a request that its own region has refused to another region, if it would be in time there. Returns
+/// whether it was sent.
 pub(crate) async fn leave_if_refused(ctx: &Context) -> bool {
-    match may_leave(ctx) {
-        Some(graph) => leave(ctx, &graph, Millis::MAX).await,
+    match spillable_stages(ctx) {
+        Some(graph) => try_spill(ctx, &graph, Millis::MAX).await,
         None => false,
     }
 }
 
-/// The stages of a request that may be served in another region: no work was done for it, and it may
-/// be in time there where nothing waits.
-fn may_leave(ctx: &Context) -> Option<StageGraph> {
+/// The stages of a request that may be served in another region: no work was done for it, and it would be in
+/// time there without queueing.
+fn spillable_stages(ctx: &Context) -> Option<StageGraph> {
     let topology = &ctx.shared.topology;
-    let is_here = topology.is_split() && ctx.region() == topology.own_region();
-    if !is_here
-        || !ctx.shared.regions.spill.is_on()
+    let is_own_region = topology.is_split() && ctx.region() == topology.own_region();
+    if !is_own_region
+        || !ctx.shared.regions.spill.is_enabled()
         || ctx.is_spilled()
         || ctx.has_begun()
         || ctx.route.stages.is_empty()
@@ -169,8 +171,8 @@
         return None;
     }
     let graph = StageGraph::new(&ctx.route.stages, &ctx.head.pieces);
-    let least = there_ms(ctx, &graph, |service| stage_ms(ctx, service));
-    (!graph.is_empty() && least <= left_ms(ctx)).then_some(graph)
+    let min_ms = there_ms(ctx, &graph, |service| stage_ms(ctx, service));
+    (!graph.is_empty() && min_ms <= left_ms(ctx)).then_some(graph)
 }
 
 fn service_of(ctx: &Context, stage: usize) -> &str {
@@ -181,40 +183,41 @@
     ctx.left_of_target().as_millis() as Millis
 }
 
-/// Time until the first event of a request that another region serves, whose stages take `ms` there.
+/// Time until the first event of a request served by another region, in milliseconds; `ms` is the duration of
+/// a service's stage there.
 fn there_ms(ctx: &Context, graph: &StageGraph, ms: impl Fn(&str) -> Millis) -> Millis {
     let stage = |stage: usize| ms(service_of(ctx, stage)) + FAR_REGION_MS;
     first_event_ms(ctx) + FAR_REGION_MS + chain_ms(graph, &stage)
 }
 
-/// Takes places for a request in another region and has that one serve it; whether it does.
-async fn leave(ctx: &Context, graph: &StageGraph, here_ms: Millis) -> bool {
+/// Sends a request to another region if places, time and bandwidth permit. Returns whether it was sent.
+async fn try_spill(ctx: &Context, graph: &StageGraph, here_ms: Millis) -> bool {
     let shared = &ctx.shared;
     let within = ctx.within();
-    let region = others_that_serve(shared, &ctx.route, &ctx.service, &within).next();
+    let region = other_regions_serving(shared, &ctx.route, &ctx.service, &within).next();
     let Some(region) = region else {
         return false;
     };
     let places = places(graph, |it| service_of(ctx, it));
-    let Some(times) = take_all(shared, &region, &places).await else {
-        kept(ctx, &region, here_ms, None, "places");
+    let Some(times) = take_places(shared, &region, &places).await else {
+        log_not_spilled(ctx, &region, here_ms, None, "places");
         return false;
     };
     let there_ms = there_ms(ctx, graph, |it| times.get(it).copied().unwrap_or(0));
     let left_ms = left_ms(ctx);
     if !(Prospect { left_ms, here_ms, there_ms }).is_worth_it() {
-        kept(ctx, &region, here_ms, Some(there_ms), "gain");
+        log_not_spilled(ctx, &region, here_ms, Some(there_ms), "gain");
         return false;
     }
     let bytes = ctx.request.body.len() as u64;
     if !shared.regions.spill.spend(shared, bytes) {
-        kept(ctx, &region, here_ms, Some(there_ms), "link");
+        log_not_spilled(ctx, &region, here_ms, Some(there_ms), "link");
         return false;
     }
     let detail = format!(
         "id={} region={region} here_ms={} there_ms={there_ms} left_ms={left_ms} bytes={bytes}",
         ctx.request.id,
-        text_of(Some(here_ms).filter(|it| *it != Millis::MAX)),
+        ms_or_none(Some(here_ms).filter(|it| *it != Millis::MAX)),
     );
     emit(events::SPILLED, &shared.settings.instance, &detail);
     let labels = [label("region", region.clone()), label("outcome", "sent")];
@@ -224,13 +227,13 @@
     true
 }
 
-/// A time in the log; none where it is not known.
-fn text_of(ms: Option<Millis>) -> String {
+/// A time as logged; `none` if it is not known.
+fn ms_or_none(ms: Option<Millis>) -> String {
     ms.map_or("none".to_owned(), |it| it.to_string())
 }
 
-/// Notes that a request stays in its region although it will be late there, and why.
-fn kept(
+/// Logs and counts that a request was not sent to another region, with the cause.
+fn log_not_spilled(
     ctx: &Context,
     region: &str,
     here_ms: Millis,
@@ -240,8 +243,8 @@
     let detail = format!(
         "id={} region={region} cause={cause} here_ms={} there_ms={} left_ms={}",
         ctx.request.id,
-        text_of(Some(here_ms).filter(|it| *it != Millis::MAX)),
-        text_of(there_ms),
+        ms_or_none(Some(here_ms).filter(|it| *it != Millis::MAX)),
+        ms_or_none(there_ms),
         ctx.left_of_target().as_millis()
     );
     emit(events::NOT_SPILLED, &ctx.shared.settings.instance, &detail);
@@ -249,7 +252,7 @@
     ctx.shared.metrics.spills.add(1, &labels);
 }
 
-/// Places that a request needs at each service.
+/// Number of places that a request needs at each service.
 fn places<'a>(graph: &StageGraph, service: impl Fn(usize) -> &'a str) -> HashMap<&'a str, u32> {
     let mut places = HashMap::new();
     for stage in (0..graph.len()).filter(|it| graph.pieces(*it) != 0) {
@@ -258,9 +261,10 @@
     places
 }
 
-/// Takes places at all services, from their owners in this region; how long each stage takes in the
-/// other one, `None` where places are missing. Those taken in vain end with their leases.
-async fn take_all<'a>(
+/// Takes places at all services from their owners in this region. Returns the usual duration of each
+/// service's stage in the other region, in milliseconds, or `None` if places are missing. Places that were
+/// taken and not used expire with their leases.
+async fn take_places<'a>(
     shared: &Arc<IngressShared>,
     region: &str,
     places: &HashMap<&'a str, u32>,
@@ -268,13 +272,13 @@
     let until = Instant::now() + PLACE_LIMIT;
     let taken = places.iter().map(|(service, count)| async move {
         let (service, count) = (*service, *count);
-        let elsewhere = (service.to_owned(), region.to_owned());
+        let remote = (service.to_owned(), region.to_owned());
         let ms = match own_batcher_of(shared, service) {
-            None => shared.regions.spill.take(shared.clock.now(), elsewhere, count),
+            None => shared.regions.spill.take(shared.clock.now(), remote, count),
             Some(address) => {
                 let limit = until.saturating_duration_since(Instant::now());
-                let asked = shared.peers.borrow(shared, &address, elsewhere, count, limit);
-                timeout(limit, asked).await.ok().flatten()
+                let call = shared.peers.borrow(shared, &address, remote, count, limit);
+                timeout(limit, call).await.ok().flatten()
             }
         };
         Some((service, ms?))
