--- a/crates/holdpoint-schema/src/check.rs
+++ b/crates/holdpoint-schema/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks JSON values against the schemas.
+//! Validates JSON values against the schemas.
 
 use std::{net::SocketAddr, sync::OnceLock};
 
@@ -10,16 +10,16 @@
 const INGRESS: &str = include_str!("../schemas/ingress.json");
 const CALLER: &str = include_str!("../schemas/caller.json");
 
-/// One fault in a checked value.
+/// One validation error of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// JSON pointer of the value at fault; empty for the whole document.
+    /// JSON pointer of the invalid value; empty for the whole document.
     pub path: String,
-    /// What is wrong, in one line.
+    /// Description, in one line.
     pub text: String,
 }
 
-/// A part of the schemas that a value can be checked against.
+/// A part of the schemas that a value can be validated against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
     /// Settings of a daemon.
@@ -44,10 +44,10 @@
     Ingress,
 }
 
-/// Number of parts; the last one is named here so that a further one is not forgotten.
-const PARTS: usize = Part::Ingress as usize + 1;
+/// Number of parts. Must name the last variant of [`Part`].
+const PART_COUNT: usize = Part::Ingress as usize + 1;
 
-/// Returns every fault of `value` against one part of the schemas; none means that it is valid.
+/// Returns all validation errors of `value` against one part of the schemas; none if it is valid.
 pub fn faults(part: Part, value: &Value) -> Vec<Fault> {
     validator(part)
         .iter_errors(value)
@@ -56,12 +56,12 @@
 }
 
 fn validator(part: Part) -> &'static Validator {
-    // Each part is compiled when first asked for: a daemon uses one or two of them.
-    static VALIDATORS: [OnceLock<Validator>; PARTS] = [const { OnceLock::new() }; PARTS];
-    VALIDATORS[part as usize].get_or_init(|| compiled(part))
+    // Compiled on first use, since a daemon needs only one or two of the parts.
+    static VALIDATORS: [OnceLock<Validator>; PART_COUNT] = [const { OnceLock::new() }; PART_COUNT];
+    VALIDATORS[part as usize].get_or_init(|| compile(part))
 }
 
-fn compiled(part: Part) -> Validator {
+fn compile(part: Part) -> Validator {
     let (text, name) = match part {
         Part::Settings => (SETTINGS, ""),
         Part::ResourceFile => (RESOURCES, ""),
--- a/crates/holdpoint-schema/src/lib.rs
+++ b/crates/holdpoint-schema/src/lib.rs
@@ -1,5 +1,5 @@
 //! JSON Schemas of holdpoint's settings, resources, log records and messages, with the Rust
-//! types generated from them and a validator that names every fault by its path.
+//! types generated from them and a validator that reports each error with its path.
 //!
 //! ```
 //! use holdpoint_schema::{faults, Part};
--- a/crates/holdpoint-schema/tests/drift.rs
+++ b/crates/holdpoint-schema/tests/drift.rs
@@ -1,6 +1,6 @@
-//! Generates the Rust types from the schemas and holds the committed files against them.
+//! Generates the Rust types from the schemas and compares them with the committed files.
 //!
-//! `HOLDPOINT_WRITE_SCHEMA=1 cargo test -p holdpoint-schema --test drift` writes them anew.
+//! `HOLDPOINT_WRITE_SCHEMA=1 cargo test -p holdpoint-schema --test drift` rewrites them.
 
 use std::{fs, path::Path};
 
@@ -8,11 +8,11 @@
 use serde_json::{Map, Value};
 use typify::{TypeSpace, TypeSpaceSettings};
 
-const NAMES: [&str; 7] =
+const SCHEMAS: [&str; 7] =
     ["settings", "resources", "records", "peer", "caller", "platform", "ingress"];
 
-/// Keywords that are checked by the validator and would only turn plain types into wrappers.
-const CHECKS: [&str; 7] =
+/// Keywords left to the validator; the generator would turn the types that have them into wrappers.
+const VALIDATION_KEYWORDS: [&str; 7] =
     ["minimum", "maximum", "pattern", "minLength", "maxLength", "minItems", "maxItems"];
 
 fn without_checks(value: &mut Value) {
@@ -20,7 +20,7 @@
         Value::Object(map) => {
             let is_schema = map.contains_key("type");
             if is_schema {
-                CHECKS.iter().for_each(|it| drop(map.remove(*it)));
+                VALIDATION_KEYWORDS.iter().for_each(|it| drop(map.remove(*it)));
                 if map.get("format").is_some_and(|it| it == "socket-address") {
                     map.remove("format");
                 }
@@ -32,8 +32,9 @@
     }
 }
 
-/// Writes out `"default": {}` member by member: the generator takes an empty object for zeros.
-fn with_whole_defaults(root: &mut Value) {
+/// Expands `"default": {}` to the defaults of all members; the generator treats an empty object as
+/// zeros.
+fn with_full_defaults(root: &mut Value) {
     let definitions = root["definitions"].clone();
     for property in root["properties"].as_object_mut().into_iter().flat_map(|it| it.values_mut()) {
         let name = property["allOf"][0]["$ref"].as_str().unwrap_or_default();
@@ -51,7 +52,7 @@
     let text = fs::read_to_string(dir.join(format!("schemas/{name}.json"))).unwrap();
     let mut value: Value = serde_json::from_str(&text).unwrap();
     without_checks(&mut value);
-    with_whole_defaults(&mut value);
+    with_full_defaults(&mut value);
     let schema: schemars::schema::RootSchema = serde_json::from_value(value).unwrap();
     let mut settings = TypeSpaceSettings::default();
     settings.with_derive("PartialEq".to_owned());
@@ -80,7 +81,7 @@
 #[test]
 fn committed_types_match_the_schemas() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/generated");
-    for name in NAMES {
+    for name in SCHEMAS {
         let path = dir.join(format!("{name}.rs"));
         let wanted = generated(name);
         if std::env::var_os("HOLDPOINT_WRITE_SCHEMA").is_some() {
