--- a/crates/holdpoint-platform/src/clock.rs
+++ b/crates/holdpoint-platform/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of the project, in milliseconds.
+//! Clock of all components, in milliseconds; can be advanced by hand in tests.
 
 use std::{
     sync::{
@@ -12,7 +12,7 @@
 
 use crate::Instant;
 
-/// Tells the time, in milliseconds since the Unix epoch; it never goes back.
+/// Monotonic clock, in milliseconds since the Unix epoch.
 #[derive(Clone, Debug)]
 pub struct Clock {
     source: Source,
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug)]
 enum Source {
-    /// Wall-clock time at start, then the clock that goes on in a suspension.
+    /// Wall-clock time at start plus the time elapsed since, suspensions included.
     System {
         start: Millis,
         since: Instant,
@@ -35,19 +35,19 @@
 }
 
 impl Clock {
-    /// Makes a clock that follows the system's.
+    /// Creates a clock that starts at the system's wall-clock time.
     pub fn new() -> Clock {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let start = Millis::try_from(wall.as_millis()).unwrap_or(Millis::MAX);
         Clock { source: Source::System { start, since: Instant::now() } }
     }
 
-    /// Makes a clock that stands at `start` until it is advanced.
+    /// Creates a clock that stays at `start` until it is advanced.
     pub fn with_manual(start: Millis) -> Clock {
         Clock { source: Source::Manual(Arc::new(AtomicU64::new(start))) }
     }
 
-    /// The time now.
+    /// Current time.
     pub fn now(&self) -> Millis {
         match &self.source {
             Source::System { start, since } => start + since.elapsed().as_millis() as Millis,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Advances a manual clock; a system clock takes no notice.
+    /// Advances a manual clock; has no effect on a system clock.
     pub fn advance(&self, ms: Millis) {
         if let Source::Manual(now) = &self.source {
             now.fetch_add(ms, Ordering::AcqRel);
--- a/crates/holdpoint-platform/src/engine.rs
+++ b/crates/holdpoint-platform/src/engine.rs
@@ -11,32 +11,32 @@
 
 use crate::{
     http::{CallError, Http},
-    target::{ATTEMPT, Signs, TOKEN, headers_of, is_echoed, signs},
+    target::{ATTEMPT, TOKEN, TargetInfo, headers_of, is_echoed, target_info},
 };
 
-/// Data of the event that ends a stream.
+/// Data of the last event of a stream.
 const DONE: &str = "[DONE]";
-/// How long a cancellation may take.
-const CANCEL: Duration = Duration::from_millis(500);
+/// Timeout of a cancellation.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a report or an order may take.
-const ORDER: Duration = Duration::from_millis(1000);
-/// HTTP path of what an engine holds.
-const HOLDING: &str = "/v1/holding";
+/// Timeout of a report or an order.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// HTTP path of an engine's state report and orders.
+const HOLDING_PATH: &str = "/v1/holding";
 
 /// One event of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Generated {
-    /// A chunk.
+    /// A chunk of text.
     Chunk {
         /// Index within the stream, from 0.
         index: u64,
         /// Text.
         text: String,
     },
-    /// What the generation used.
+    /// Resource usage of the generation.
     Usage {
-        /// Engine milliseconds.
+        /// Engine time, in milliseconds.
         engine_ms: u64,
     },
     /// The end mark.
@@ -48,20 +48,20 @@
 
 type Events = Pin<Box<dyn Stream<Item = Result<Event, CallError>> + Send>>;
 
-/// A generation under way.
+/// A generation in progress.
 pub struct Generation {
     attempt: String,
     events: Events,
 }
 
-/// Calls engines.
+/// Client of engines.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: Http,
 }
 
 impl EngineClient {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new(http: Http) -> EngineClient {
         EngineClient { http }
     }
@@ -73,20 +73,20 @@
         attempt: &AttemptId,
         completion: &Completion,
         limit: Duration,
-    ) -> (Result<Generation, CallError>, Signs) {
+    ) -> (Result<Generation, CallError>, TargetInfo) {
         let headers = headers_of(attempt, None, None);
         let body = serde_json::to_vec(completion).unwrap_or_default();
         let sent = self.http.open(Method::POST, address, "/v1/completions", &headers, body);
         let reply = match tokio::time::timeout(limit, sent).await {
             Ok(Ok(it)) => it,
-            Ok(Err(it)) => return (Err(it), Signs::default()),
-            Err(_) => return (Err(CallError::Timeout), Signs::default()),
+            Ok(Err(it)) => return (Err(it), TargetInfo::default()),
+            Err(_) => return (Err(CallError::Timeout), TargetInfo::default()),
         };
-        let signs = signs(reply.headers());
-        (generation(reply, attempt), signs)
+        let target_info = target_info(reply.headers());
+        (generation(reply, attempt), target_info)
     }
 
-    /// Goes on with a generation from chunk `next`.
+    /// Resumes a generation at chunk `next`.
     pub async fn resume(
         &self,
         address: &str,
@@ -95,7 +95,7 @@
         limit: Duration,
     ) -> Result<Generation, CallError> {
         let mut headers = headers_of(attempt, None, None);
-        // The id names the last event that was seen, so the first chunk has none to name.
+        // The header holds the id of the last event received; before the first chunk there is none.
         if let Some(last) = next.checked_sub(1) {
             headers.push(("last-event-id", last.to_string()));
         }
@@ -104,9 +104,10 @@
         generation(reply, attempt)
     }
 
-    /// Reads what an engine holds and does.
+    /// Reads an engine's state report.
     pub async fn report(&self, address: &str) -> Result<EngineReport, CallError> {
-        let call = self.http.call(Method::GET, address, HOLDING, &[], Vec::new(), ORDER);
+        let call =
+            self.http.call(Method::GET, address, HOLDING_PATH, &[], Vec::new(), CALL_TIMEOUT);
         let reply = call.await?;
         if !reply.status.is_success() {
             return Err(CallError::Status(reply.status.as_u16()));
@@ -114,7 +115,7 @@
         serde_json::from_slice(&reply.body).map_err(|_| CallError::BadAnswer)
     }
 
-    /// Gives an engine an order, fenced by a token where it checks tokens.
+    /// Sends an order to an engine, with a fencing token for an engine that checks tokens.
     pub async fn order(
         &self,
         address: &str,
@@ -123,7 +124,10 @@
     ) -> Result<(), CallError> {
         let headers: Vec<_> = token.map(|it| (TOKEN, it.to_string())).into_iter().collect();
         let body = serde_json::to_vec(order).unwrap_or_default();
-        let reply = self.http.call(Method::PUT, address, HOLDING, &headers, body, ORDER).await?;
+        let reply = self
+            .http
+            .call(Method::PUT, address, HOLDING_PATH, &headers, body, CALL_TIMEOUT)
+            .await?;
         if reply.status.is_success() {
             Ok(())
         } else {
@@ -131,17 +135,23 @@
         }
     }
 
-    /// Cancels a generation; a failure to do so costs the engine's time only.
+    /// Cancels a generation. Errors are ignored: they only waste engine time.
     pub async fn cancel(&self, address: &str, attempt: &str) {
         let headers = [(ATTEMPT, attempt.to_owned())];
-        let call =
-            self.http.call(Method::DELETE, address, "/v1/streams", &headers, Vec::new(), CANCEL);
+        let call = self.http.call(
+            Method::DELETE,
+            address,
+            "/v1/streams",
+            &headers,
+            Vec::new(),
+            CANCEL_TIMEOUT,
+        );
         drop(call.await);
     }
 }
 
 impl Generation {
-    /// Next event; `None` where the connection closed, which is no end mark.
+    /// Next event; `None` if the connection closed, which need not be the end of the stream.
     pub async fn next(&mut self) -> Option<Result<Generated, CallError>> {
         loop {
             let event = match self.events.next().await? {
--- a/crates/holdpoint-platform/src/http.rs
+++ b/crates/holdpoint-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls over pooled connections, with failures sorted by what they prove.
+//! HTTP calls over pooled connections. Errors tell whether a call may have reached the target.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
     rt::{TokioExecutor, TokioTimer},
 };
 
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
-/// Idle connections are closed before a target would: one that it closes while a call is being
-/// written leaves that call's outcome unknown.
-const IDLE: Duration = Duration::from_secs(10);
-/// How long a connection may take to be made.
-const CONNECT: Duration = Duration::from_millis(1000);
+/// Maximum size of a response body.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// How long an idle connection is kept. Shorter than the idle timeout of targets: if a target
+/// closes a connection while a call is being written, the outcome of the call is unknown.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Why a call gave no whole answer.
+/// Error of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection was made, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotConnected,
-    /// No answer in time; the call may have been acted on.
+    /// No response in time; the call may have been processed.
     Timeout,
-    /// The connection broke after it was made; the call may have been acted on.
+    /// The connection broke after it was established; the call may have been processed.
     Broken,
-    /// The answer was not of the expected form.
+    /// The response could not be parsed.
     BadAnswer,
-    /// The answer was larger than is read.
+    /// The response body exceeded the maximum size.
     TooLarge,
-    /// The answer had this status.
+    /// The response had this status.
     Status(u16),
-    /// The answer belonged to another attempt.
+    /// The response belonged to another attempt.
     Crossed,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// Status.
@@ -55,7 +55,7 @@
     pub body: Bytes,
 }
 
-/// Makes HTTP calls; clones share their connections.
+/// HTTP client; clones share one connection pool.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -68,20 +68,20 @@
 }
 
 impl Http {
-    /// Makes a client with no connections.
+    /// Creates a client with an empty connection pool.
     pub fn new() -> Http {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         Http { client }
     }
 
-    /// Makes a call and reads the whole answer.
+    /// Makes a call and reads the complete response.
     pub async fn call(
         &self,
         method: Method,
@@ -91,17 +91,17 @@
         body: Vec<u8>,
         limit: Duration,
     ) -> Result<Reply, CallError> {
-        let whole = async {
+        let exchange = async {
             let (head, body) = self.open(method, address, path, headers, body).await?.into_parts();
-            let body = Limited::new(body, MAX_ANSWER).collect().await.map_err(|it| {
+            let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|it| {
                 if it.is::<LengthLimitError>() { CallError::TooLarge } else { CallError::Broken }
             })?;
             Ok(Reply { status: head.status, headers: head.headers, body: body.to_bytes() })
         };
-        tokio::time::timeout(limit, whole).await.unwrap_or(Err(CallError::Timeout))
+        tokio::time::timeout(limit, exchange).await.unwrap_or(Err(CallError::Timeout))
     }
 
-    /// Makes a call and returns once the head of the answer is there.
+    /// Makes a call and returns once the response headers have been received.
     pub async fn open(
         &self,
         method: Method,
@@ -117,7 +117,7 @@
         for (name, value) in headers {
             request = request.header(*name, value);
         }
-        // Only a header or an address that is no HTTP text fails here: nothing is sent.
+        // Fails only on an invalid header or address, before anything is sent.
         let request =
             request.body(Full::new(Bytes::from(body))).map_err(|_| CallError::NotConnected)?;
         self.client
--- a/crates/holdpoint-platform/src/instant.rs
+++ b/crates/holdpoint-platform/src/instant.rs
@@ -1,4 +1,4 @@
-//! Points in time that count suspensions.
+//! Monotonic points in time that include the time a machine is suspended.
 
 use std::{
     ops::{Add, AddAssign, Sub},
@@ -8,35 +8,35 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Milliseconds that tests let pass as a suspension does.
+/// Duration of the suspensions that tests have simulated, in milliseconds.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// A point in time, as the one of the standard library, that goes on while the machine is suspended:
-/// what was read before has grown old meanwhile, and callers have waited. Timers do not count a
-/// suspension, so whoever waits for a point in time looks again once the machine is awake.
+/// A point in time like that of the standard library, but advancing while the machine is suspended:
+/// cached data ages and callers wait during a suspension. Timers do not advance then, so code that
+/// waits for a point in time must check again after the machine resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// The time now.
+    /// Current time.
     pub fn now() -> Instant {
         let now = clock_gettime(ClockId::Boottime);
         let since = Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32);
         Instant(since + Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed)))
     }
 
-    /// Time since then; nothing where it lies ahead.
+    /// Time elapsed since this instant; zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Instant::now() - self
     }
 
-    /// Time since an earlier one; nothing where that is later.
+    /// Time elapsed since `earlier`; zero if that is later.
     pub fn saturating_duration_since(self, earlier: Instant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Lets time pass for the whole process as a suspension does, for tests: the steady clock and its
-    /// timers take no notice.
+    /// Simulates a suspension for the whole process, for tests. The standard library's clock and
+    /// timers are not affected.
     #[doc(hidden)]
     pub fn suspend(time: Duration) {
         SUSPENDED_MS.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
--- a/crates/holdpoint-platform/src/lib.rs
+++ b/crates/holdpoint-platform/src/lib.rs
@@ -1,4 +1,5 @@
-//! Clients for the platform's services and for targets. They carry calls and decide nothing.
+//! Clients for the platform's services and for targets. They make calls only; routing and retries
+//! are up to their users.
 //!
 //! ```
 //! use holdpoint_platform::clock::Clock;
--- a/crates/holdpoint-platform/src/list.rs
+++ b/crates/holdpoint-platform/src/list.rs
@@ -1,4 +1,4 @@
-//! Client for the platform's lagging list of live and leaving instances.
+//! Client for the platform's list of live and draining instances, which may be out of date.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 const ETAG: &str = "etag";
 const IF_NONE_MATCH: &str = "if-none-match";
 
-/// Reads the list, and again only where it has changed: whole, the list of a large system costs
-/// many times a node's share of bandwidth each second.
+/// Reads the list with conditional requests, since transferring the full list of a large system at
+/// each poll would take too much bandwidth.
 #[derive(Clone, Debug)]
 pub struct ListClient {
     http: Http,
     address: String,
     timeout: Duration,
-    /// Entity tag of the list that was read last.
+    /// Entity tag of the list read last.
     tag: Option<String>,
 }
 
 impl ListClient {
-    /// Makes a client of the list at `address`.
+    /// Creates a client for the list at `address`.
     pub fn new(http: Http, address: &str, timeout: Duration) -> ListClient {
         ListClient { http, address: address.to_owned(), timeout, tag: None }
     }
 
-    /// Reads the list; `None` where it is as it was read last.
+    /// Reads the list; `None` if it has not changed since the last read.
     pub async fn read(&mut self) -> Result<Option<Listing>, CallError> {
         let headers: Vec<_> = self.tag.clone().map(|it| (IF_NONE_MATCH, it)).into_iter().collect();
         let call =
--- a/crates/holdpoint-platform/src/log.rs
+++ b/crates/holdpoint-platform/src/log.rs
@@ -11,49 +11,49 @@
 
 use crate::http::Http;
 
-/// An append whose fate is not known: it is to be made again under the same record id.
+/// An append with an unknown outcome; it must be retried with the same record id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownAppend;
 
-/// Why a read gave nothing.
+/// Error of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The log did not answer.
+    /// The log did not answer, or not with a valid batch.
     Silent,
-    /// Records from that offset are no longer kept.
+    /// Records from that offset are no longer retained.
     Expired {
-        /// Offset of the oldest record kept.
+        /// Offset of the oldest record retained.
         first: Offset,
     },
 }
 
-/// One record read.
+/// A record read from the log.
 #[derive(Clone, Debug)]
 pub struct ReadRecord {
     /// Offset.
     pub offset: Offset,
-    /// The log's append time.
+    /// Time of the append by the log's clock, in milliseconds.
     pub at: Millis,
     /// Size, in bytes.
     pub bytes: usize,
-    /// The record; `None` where it cannot be read by this version.
+    /// The record; `None` if this version cannot parse it.
     pub record: Option<Record>,
 }
 
-/// Records read.
+/// A batch of records read from the log.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// Offset of the oldest record kept.
+    /// Offset of the oldest record retained.
     pub first: Offset,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub next: Offset,
-    /// The log's own time.
+    /// Time of the log's clock, in milliseconds.
     pub now: Millis,
-    /// Records in order.
+    /// Records in order of offset.
     pub records: Vec<ReadRecord>,
 }
 
-/// Reads and appends records.
+/// Client of the log.
 #[derive(Clone, Debug)]
 pub struct LogClient {
     http: Http,
@@ -62,7 +62,7 @@
 }
 
 impl LogClient {
-    /// Makes a client of the log at `address`.
+    /// Creates a client for the log at `address`.
     pub fn new(http: Http, address: &str, timeout: Duration) -> LogClient {
         LogClient { http, address: address.to_owned(), timeout }
     }
--- a/crates/holdpoint-platform/src/operators.rs
+++ b/crates/holdpoint-platform/src/operators.rs
@@ -8,13 +8,13 @@
 
 use crate::http::{CallError, Http, Reply};
 
-/// How long a call may take: an instance answers a change within its own limit.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a call. An instance answers a change within its setting `change_wait_ms`.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why an operator's call gave no result.
+/// Error of an operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApiError {
-    /// No whole answer came.
+    /// No complete response was received.
     Call(CallError),
     /// The instance refused the call: status and problem document.
     Refused(u16, Value),
@@ -28,18 +28,18 @@
     token: String,
 }
 
-/// How a change is to be made.
+/// Options of a change.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeForm {
-    /// Version that it is made against: 0 for a resource that must not exist; whatever is in
-    /// force where absent.
+    /// Version that the change is based on: 0 if the resource must not exist; the active version if
+    /// absent.
     pub base: Option<u64>,
-    /// Change id, by which it can be repeated safely; a new one where absent.
+    /// Change id, which makes a retry idempotent; a new one if absent.
     pub change: Option<String>,
 }
 
 impl OperatorClient {
-    /// Makes a client of the instance at `address`.
+    /// Creates a client for the instance at `address`.
     pub fn new(http: Http, address: &str, token: &str) -> OperatorClient {
         OperatorClient { http, address: address.to_owned(), token: token.to_owned() }
     }
@@ -77,7 +77,7 @@
         self.change(Method::DELETE, kind, name, Vec::new(), form).await
     }
 
-    /// Starts a watch; the answer's body has one event a line.
+    /// Starts a watch; the response body has one event per line.
     pub async fn watch(
         &self,
         kind: &str,
@@ -131,7 +131,7 @@
     ) -> Result<Reply, ApiError> {
         let mut all = vec![("authorization", format!("Bearer {}", self.token))];
         all.extend(headers.iter().cloned());
-        let call = self.http.call(method, &self.address, path, &all, body, LIMIT);
+        let call = self.http.call(method, &self.address, path, &all, body, CALL_TIMEOUT);
         call.await.map_err(ApiError::Call)
     }
 }
--- a/crates/holdpoint-platform/src/target.rs
+++ b/crates/holdpoint-platform/src/target.rs
@@ -19,20 +19,20 @@
 pub const LOAD: &str = "target-load";
 /// Header with the target's incarnation.
 pub const INCARNATION: &str = "target-incarnation";
-/// Header that is present once the target is leaving.
-pub const LEAVING: &str = "target-leaving";
-/// Header with the milliseconds that the target spent.
+/// Header that is present once the target is draining.
+pub const DRAINING: &str = "target-leaving";
+/// Header with the milliseconds that the target spent on the call.
 pub const COST: &str = "target-cost-ms";
 
-/// What a target says of itself with an answer.
+/// What a target reports about itself in the headers of a response.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Signs {
+pub struct TargetInfo {
     /// Load, where reported.
     pub load: Option<TargetLoad>,
-    /// Incarnation, where told.
+    /// Incarnation, where reported.
     pub incarnation: Option<String>,
-    /// Whether it is leaving.
-    pub leaving: bool,
+    /// Whether it is draining.
+    pub is_draining: bool,
     /// Milliseconds spent on the call.
     pub cost_ms: u64,
 }
@@ -52,40 +52,40 @@
     pub token: Option<Offset>,
     /// Named inputs.
     pub inputs: &'a Map<String, Value>,
-    /// How long the answer is of use.
+    /// Timeout of the call.
     pub limit: Duration,
 }
 
-/// Calls targets.
+/// Client of targets.
 #[derive(Clone, Debug)]
 pub struct TargetClient {
     http: Http,
 }
 
 impl TargetClient {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new(http: Http) -> TargetClient {
         TargetClient { http }
     }
 
-    /// Calls a target. What it says of itself comes back with a failure, too.
-    pub async fn call(&self, call: &TargetCall<'_>) -> (Result<Value, CallError>, Signs) {
+    /// Calls a target. Its reported state is returned with an error response as well.
+    pub async fn call(&self, call: &TargetCall<'_>) -> (Result<Value, CallError>, TargetInfo) {
         let headers = headers_of(call.attempt, call.key, call.token);
         let body = serde_json::to_vec(call.inputs).unwrap_or_default();
         let sent =
             self.http.call(Method::POST, call.address, call.path, &headers, body, call.limit);
         let reply = match sent.await {
             Ok(it) => it,
-            Err(it) => return (Err(it), Signs::default()),
+            Err(it) => return (Err(it), TargetInfo::default()),
         };
-        let signs = signs(&reply.headers);
+        let target_info = target_info(&reply.headers);
         if !reply.status.is_success() {
-            return (Err(CallError::Status(reply.status.as_u16())), signs);
+            return (Err(CallError::Status(reply.status.as_u16())), target_info);
         }
         if !is_echoed(&reply.headers, call.attempt) {
-            return (Err(CallError::Crossed), signs);
+            return (Err(CallError::Crossed), target_info);
         }
-        (serde_json::from_slice(&reply.body).map_err(|_| CallError::BadAnswer), signs)
+        (serde_json::from_slice(&reply.body).map_err(|_| CallError::BadAnswer), target_info)
     }
 }
 
@@ -104,11 +104,11 @@
     text(headers, ATTEMPT).is_some_and(|it| it == attempt.to_string())
 }
 
-pub(crate) fn signs(headers: &HeaderMap) -> Signs {
-    Signs {
+pub(crate) fn target_info(headers: &HeaderMap) -> TargetInfo {
+    TargetInfo {
         load: text(headers, LOAD).and_then(|it| serde_json::from_str(it).ok()),
         incarnation: text(headers, INCARNATION).map(str::to_owned),
-        leaving: headers.contains_key(LEAVING),
+        is_draining: headers.contains_key(DRAINING),
         cost_ms: text(headers, COST).and_then(|it| it.parse().ok()).unwrap_or(0),
     }
 }
--- a/crates/holdpointd/src/traffic/admission.rs
+++ b/crates/holdpointd/src/traffic/admission.rs
@@ -1,4 +1,4 @@
-//! Admission on the running path: the gate, and the requests that wait at it.
+//! Admission control: passes requests to the gate and wakes those that wait there.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,8 +11,8 @@
 
 use crate::shared::Shared;
 
-/// Interval at which waiting requests are checked against their deadlines.
-const SWEEP: Duration = Duration::from_millis(10);
+/// Interval between checks of the waiting requests against their deadlines.
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
 struct Inner {
@@ -20,20 +20,20 @@
     waiters: HashMap<Ticket, oneshot::Sender<bool>>,
 }
 
-/// The gate and the requests that wait at it.
+/// The gate with the requests waiting at it.
 #[derive(Debug)]
 pub(crate) struct Admission {
     inner: Mutex<Inner>,
 }
 
-/// Why a request was refused at the gate, and when to come back.
+/// A refusal, with the time in milliseconds after which the caller may retry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refused {
     pub(crate) reason: Refusal,
     pub(crate) retry_after: Millis,
 }
 
-/// A request that was let through; it ends when dropped.
+/// Permit of an admitted request; dropping it ends the request at the gate.
 pub(crate) struct Admitted {
     shared: Arc<Shared>,
     organisation: Name,
@@ -52,7 +52,7 @@
             let waiter = inner.waiters.remove(&ticket);
             let is_gone = waiter.is_none_or(|it| it.send(true).is_err());
             if is_gone {
-                // Its caller has left; the place goes to the next one.
+                // The waiting caller has disconnected; admit the next request.
                 tickets.extend(inner.gate.done(now, organisation, Signal::Silent));
             }
         }
@@ -94,17 +94,17 @@
     }
 }
 
-/// Refuses the waiting requests that can no longer make their deadline, as long as it runs.
+/// Periodically refuses waiting requests that can no longer meet their deadline; never returns.
 pub(crate) async fn expire_waiting(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(EXPIRE_INTERVAL).await;
         shared.traffic.admission.expire(shared.clock.now());
     }
 }
 
 impl Admitted {
-    /// Notes what the request's targets said about their load.
-    pub(crate) fn note(&mut self, signal: Signal) {
+    /// Sets the load that the request's targets reported.
+    pub(crate) fn set_signal(&mut self, signal: Signal) {
         self.signal = signal;
     }
 }
--- a/crates/holdpointd/src/traffic/callers.rs
+++ b/crates/holdpointd/src/traffic/callers.rs
@@ -1,4 +1,7 @@
-//! The callers' HTTP surface.
+//! HTTP API for callers.
+//!
+//! Authenticates and validates a request, admits it, claims its idempotency key where the pipeline
+//! may not be repeated, and then runs it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -32,18 +35,20 @@
         PipelineState,
         admission::admit,
         claim::{self, Claim},
-        job::{InTrial, Job},
+        job::{Job, TrialArm},
         problem::{Problem, ProblemKind},
         resume,
         running::{Running, count},
     },
 };
 
+/// Request header with the latency that the caller tolerates.
 const PATIENCE: HeaderName = HeaderName::from_static("holdpoint-patience-ms");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// Response header of an answer that was recorded by an earlier call with the same key.
 const REPLAYED: HeaderName = HeaderName::from_static("holdpoint-replayed");
 
-/// Routes of the callers' address.
+/// Routes of the callers' listener.
 pub(crate) fn router(shared: Arc<Shared>) -> Router {
     Router::new()
         .route("/v1/pipelines/{pipeline}/requests", post(request))
@@ -61,8 +66,8 @@
     }
 }
 
-/// Organisation of a caller key. The keys are looked up by their hash, so the time a look-up
-/// takes says nothing about them.
+/// Organisation of a caller key. Keys are looked up by their hash, so the lookup time reveals
+/// nothing about them.
 pub(crate) fn authenticate<'a>(
     view: &'a Published,
     headers: &HeaderMap,
@@ -74,8 +79,8 @@
         .ok_or_else(|| Problem::before_start(ProblemKind::Unauthorized))
 }
 
-/// A request that was read and checked, before it is admitted.
-struct Checked {
+/// A request that was read and validated but not yet admitted.
+struct CheckedRequest {
     view: Arc<Published>,
     organisation: Name,
     share: u32,
@@ -96,12 +101,12 @@
     headers: HeaderMap,
     body: Body,
 ) -> Response {
-    let working = shared.in_flight.start();
+    let in_flight = shared.in_flight.start();
     let checked = match check(&shared, pipeline, &headers, body).await {
         Ok(it) => it,
         Err(it) => return it.into_response(),
     };
-    match serve(&shared, checked, working).await {
+    match serve(&shared, checked, in_flight).await {
         Ok(it) => it,
         Err(it) => it.into_response(),
     }
@@ -112,7 +117,7 @@
     pipeline: Name,
     headers: &HeaderMap,
     body: Body,
-) -> Result<Checked, Problem> {
+) -> Result<CheckedRequest, Problem> {
     let refuse = Problem::before_start;
     let view = shared.now();
     if !shared.may_serve(&view) {
@@ -125,15 +130,15 @@
     if !details.pipelines.is_empty() && !details.pipelines.contains(&pipeline) {
         return Err(refuse(ProblemKind::Forbidden));
     }
-    let patience = patience(shared, headers, graph.spec.patience_ms)?;
+    let tolerated_ms = tolerated_ms(shared, headers, graph.spec.patience_ms)?;
     let key = headers.get(KEY).and_then(|it| it.to_str().ok()).map(str::to_owned);
     let key = key.filter(|_| !graph.spec.is_repeatable());
     if !graph.spec.is_repeatable() {
-        check_life(shared, key.as_deref(), arrived)?;
+        check_key_age(shared, key.as_deref(), arrived)?;
     }
-    let input = read_input(shared, body, patience).await?;
+    let input = read_input(shared, body, tolerated_ms).await?;
     let accept = headers.get(header::ACCEPT).and_then(|it| it.to_str().ok()).unwrap_or_default();
-    Ok(Checked {
+    Ok(CheckedRequest {
         organisation: organisation.clone(),
         share: details.share,
         cap: details.concurrency,
@@ -141,7 +146,7 @@
         graph,
         input,
         arrived,
-        deadline: arrived + patience,
+        deadline: arrived + tolerated_ms,
         key,
         wants_stream: accept.contains("text/event-stream"),
         ledger: Ledger::new(),
@@ -149,12 +154,18 @@
     })
 }
 
-fn patience(shared: &Shared, headers: &HeaderMap, usual: Millis) -> Result<Millis, Problem> {
-    let longest = shared.settings.limits.max_patience_ms;
-    let Some(value) = headers.get(PATIENCE) else { return Ok(usual.min(longest)) };
+/// Latency that the caller tolerates: the request's header or `default_ms`, up to the maximum of the
+/// settings.
+fn tolerated_ms(
+    shared: &Shared,
+    headers: &HeaderMap,
+    default_ms: Millis,
+) -> Result<Millis, Problem> {
+    let max_ms = shared.settings.limits.max_patience_ms;
+    let Some(value) = headers.get(PATIENCE) else { return Ok(default_ms.min(max_ms)) };
     let stated = value.to_str().ok().and_then(|it| it.parse::<Millis>().ok());
     match stated.filter(|it| 0 < *it) {
-        Some(it) => Ok(it.min(longest)),
+        Some(it) => Ok(it.min(max_ms)),
         None => {
             let problem = Problem::before_start(ProblemKind::BadRequest);
             let detail = "must be a whole number of milliseconds above 0";
@@ -163,7 +174,7 @@
     }
 }
 
-fn check_life(shared: &Shared, key: Option<&str>, now: Millis) -> Result<(), Problem> {
+fn check_key_age(shared: &Shared, key: Option<&str>, now: Millis) -> Result<(), Problem> {
     let refuse = |kind| Problem::before_start(kind).with_path("Idempotency-Key");
     let key = key.ok_or_else(|| refuse(ProblemKind::KeyMissing))?;
     let timing = &shared.settings.timing;
@@ -173,10 +184,10 @@
     })
 }
 
-async fn read_input(shared: &Shared, body: Body, patience: Millis) -> Result<Value, Problem> {
+async fn read_input(shared: &Shared, body: Body, tolerated_ms: Millis) -> Result<Value, Problem> {
     let limit = shared.settings.limits.body_bytes as usize;
     let read = axum::body::to_bytes(body, limit);
-    let bytes = tokio::time::timeout(Duration::from_millis(patience), read)
+    let bytes = tokio::time::timeout(Duration::from_millis(tolerated_ms), read)
         .await
         .map_err(|_| Problem::before_start(ProblemKind::SlowBody))?
         .map_err(|it| {
@@ -196,8 +207,8 @@
 
 async fn serve(
     shared: &Arc<Shared>,
-    checked: Checked,
-    working: Working,
+    checked: CheckedRequest,
+    in_flight: Working,
 ) -> Result<Response, Problem> {
     let state = shared.traffic.pipelines.of(&checked.pipeline, PipelineState::default);
     let need = expected_ms(&state, &checked.graph.spec);
@@ -211,7 +222,7 @@
     let admitted = admit(shared, &ask).await.map_err(|it| {
         let kind = match it.reason {
             Refusal::OrganisationLimit => ProblemKind::OrganisationLimit,
-            Refusal::Hopeless => ProblemKind::Hopeless,
+            Refusal::Hopeless => ProblemKind::DeadlineTooShort,
             Refusal::Overload => ProblemKind::Overload,
         };
         let cause = Cause { stage: String::new(), target: String::new(), kind: kind.name().into() };
@@ -220,12 +231,12 @@
         Problem::of_ledger(kind, &checked.ledger).with_retry_after(it.retry_after)
     })?;
     let call = shared.next_call();
-    let claim = claim_of(&checked, call);
+    let claim = new_claim(&checked, call);
     let token = match &claim {
         None => None,
-        Some(it) => match claimed(shared, it, checked.deadline, &checked.ledger).await? {
-            Claimed::Won(it) => Some(it),
-            Claimed::Replay(it) => return Ok(replayed(it)),
+        Some(it) => match claim_key(shared, it, checked.deadline, &checked.ledger).await? {
+            ClaimOutcome::Won(it) => Some(it),
+            ClaimOutcome::Replay(it) => return Ok(replay(it)),
         },
     };
     let request = format!("{}:{call}", shared.incarnation);
@@ -247,14 +258,15 @@
         ledger: checked.ledger,
         load: Mutex::default(),
     };
-    let running = Running::new(job, claim, admitted, working);
+    let running = Running::new(job, claim, admitted, in_flight);
     if checked.wants_stream {
-        return Ok(running.streamed().await);
+        return Ok(running.respond_stream().await);
     }
-    running.answered().await
+    running.respond().await
 }
 
-/// What the stages of a pipeline usually take along the longest chain, in milliseconds.
+/// Sum of the median durations of the stages in the longest chain, in milliseconds. Stages without
+/// data are left out.
 fn expected_ms(state: &PipelineState, graph: &Graph) -> Millis {
     let times = state.times.lock();
     let first = graph.order.first().copied().unwrap_or(0);
@@ -263,7 +275,7 @@
     chain.iter().filter_map(usual).sum()
 }
 
-fn claim_of(checked: &Checked, call: u64) -> Option<Claim> {
+fn new_claim(checked: &CheckedRequest, call: u64) -> Option<Claim> {
     let key = ClaimKey {
         organisation: checked.organisation.clone(),
         pipeline: checked.pipeline.clone(),
@@ -273,30 +285,30 @@
     Some(Claim { key, body_hash, call })
 }
 
-enum Claimed {
+enum ClaimOutcome {
     Won(u64),
     Replay(String),
 }
 
-/// Claims the key; only a claim that was won lets the request go on. Whatever else the log says
-/// or does not say, this instance sends nothing, and it gives up a claim that may yet land.
-async fn claimed(
+/// Claims the key. The request runs only if this call won the claim. Otherwise nothing is sent, and
+/// a claim that may still be appended to the log is released.
+async fn claim_key(
     shared: &Arc<Shared>,
     claim: &Claim,
-    until: Millis,
+    deadline: Millis,
     ledger: &Ledger,
-) -> Result<Claimed, Problem> {
-    let reply = claim::claim(shared, claim, until).await;
+) -> Result<ClaimOutcome, Problem> {
+    let reply = claim::claim(shared, claim, deadline).await;
     let refuse = |kind| Problem::of_ledger(kind, ledger);
     match reply {
-        ClaimReply::Won(_) if until <= shared.clock.now() => {
+        ClaimReply::Won(_) if deadline <= shared.clock.now() => {
             claim::release(shared, claim, "deadline");
             Err(refuse(ProblemKind::Deadline))
         }
-        ClaimReply::Won(it) => Ok(Claimed::Won(it)),
-        ClaimReply::Done(it) => Ok(Claimed::Replay(it)),
+        ClaimReply::Won(it) => Ok(ClaimOutcome::Won(it)),
+        ClaimReply::Done(it) => Ok(ClaimOutcome::Replay(it)),
         ClaimReply::Held(_) => {
-            // A claim of this call may still be on its way and must not outlive the holder's.
+            // A claim of this call may still be in flight and must not outlive the holder's.
             claim::release(shared, claim, "held");
             Err(Problem::may_have_run(ProblemKind::InProgress).with_retry_after(1000))
         }
@@ -308,12 +320,12 @@
         ClaimReply::Expired => Err(refuse(ProblemKind::KeyExpired)),
         ClaimReply::Silent => {
             claim::release(shared, claim, "log silent");
-            Err(refuse(ProblemKind::LogSilent).with_retry_after(2000))
+            Err(refuse(ProblemKind::LogUnavailable).with_retry_after(2000))
         }
     }
 }
 
-fn replayed(answer: String) -> Response {
+fn replay(answer: String) -> Response {
     let headers = [
         (header::CONTENT_TYPE, HeaderValue::from_static("application/json")),
         (REPLAYED, HeaderValue::from_static("true")),
@@ -321,8 +333,8 @@
     (headers, answer).into_response()
 }
 
-/// Trial and arm of a request. Several trials of one pipeline share its requests evenly.
-fn trial_of(checked: &Checked, request: &str) -> Option<InTrial> {
+/// Trial and arm of a request. The trials of a pipeline share its requests evenly.
+fn trial_of(checked: &CheckedRequest, request: &str) -> Option<TrialArm> {
     let stable = checked.key.as_deref().unwrap_or(request);
     let trials = checked.view.catalog.trials.iter();
     let trials: Vec<_> = trials.filter(|it| it.1.spec.pipeline == checked.pipeline).collect();
@@ -331,5 +343,5 @@
     let trial = &trials.iter().find(|it| it.0 == name)?.1.spec;
     let arm = arm_of(name, trial, stable)?;
     let policy = checked.view.catalog.policy(&arm.policy);
-    Some(InTrial { trial: name.to_owned(), arm: arm.name.clone(), policy })
+    Some(TrialArm { trial: name.to_owned(), arm: arm.name.clone(), policy })
 }
--- a/crates/holdpointd/src/traffic/claim.rs
+++ b/crates/holdpointd/src/traffic/claim.rs
@@ -1,4 +1,6 @@
-//! Claims as the traffic threads make them: ask the writer of the key's stream, or write it here.
+//! Claims idempotency keys and records their outcomes for the traffic threads.
+//!
+//! Asks the writer of the key's stream; if that fails, this instance writes the record itself.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,18 +13,18 @@
 
 use crate::{control::Input, shared::Shared};
 
-/// Largest answer that is recorded, in bytes. The outcome of a larger one is recorded as unknown.
-const MAX_RECORDED: usize = 256 << 10;
-/// How long one try to record an outcome may take.
-const SETTLE_LIMIT: Duration = Duration::from_millis(2000);
-/// Pause between two tries.
+/// Largest answer that is recorded. The outcome of a larger one is recorded as unknown.
+const MAX_RECORDED_BYTES: usize = 256 << 10;
+/// Timeout of one attempt to record an outcome.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Pause between attempts to record an outcome.
 const SETTLE_PAUSE: Duration = Duration::from_millis(100);
-/// The writer of a stream gets one of so many parts of the patience.
-const WRITER_PART: Millis = 4;
-/// What the network may add to a writer's answer, in milliseconds.
-const HOP_MS: Millis = 20;
+/// The writer of a stream gets the remaining time divided by this.
+const WRITER_DIVISOR: Millis = 4;
+/// Allowance for the network round trip to a writer, in milliseconds.
+const NETWORK_MS: Millis = 20;
 
-/// One call that may not be repeated.
+/// Claim of a call that may not be repeated.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub(crate) key: ClaimKey,
@@ -30,25 +32,25 @@
     pub(crate) call: u64,
 }
 
-/// Claims a key. [`ClaimReply::Silent`] means that the log did not say in time.
+/// Claims a key. [`ClaimReply::Silent`] means that the log did not answer in time.
 ///
-/// The writer gets a part of the patience only: one that is cut off must leave time to write the
-/// claim here. Two writers cost an append more; the log decides between them.
-pub(crate) async fn claim(shared: &Arc<Shared>, claim: &Claim, until: Millis) -> ClaimReply {
-    let left = || until.saturating_sub(shared.clock.now());
+/// The writer gets only part of the remaining time, so that this instance can still write the claim
+/// if the writer is unreachable. If both write it, the log decides; this costs an extra append.
+pub(crate) async fn claim(shared: &Arc<Shared>, claim: &Claim, deadline: Millis) -> ClaimReply {
+    let remaining = || deadline.saturating_sub(shared.clock.now());
     let mut last = ClaimReply::Silent;
     if let Some(writer) = writer(shared, &claim.key) {
-        let part = left() / WRITER_PART;
+        let part = remaining() / WRITER_DIVISOR;
         last = ask_writer(shared, &writer, ask(shared, claim, part)).await;
     }
-    if is_open(&last) && 0 < left() {
-        last = ask_here(shared, ask(shared, claim, left())).await;
+    if is_undecided(&last) && 0 < remaining() {
+        last = claim_locally(shared, ask(shared, claim, remaining())).await;
     }
     last
 }
 
-/// Whether waiting longer may give another answer.
-fn is_open(reply: &ClaimReply) -> bool {
+/// Whether another attempt may give a different reply.
+fn is_undecided(reply: &ClaimReply) -> bool {
     matches!(reply, ClaimReply::Silent | ClaimReply::Held(_))
 }
 
@@ -65,14 +67,14 @@
 }
 
 async fn ask_writer(shared: &Arc<Shared>, writer: &str, ask: ClaimAsk) -> ClaimReply {
-    let limit = Duration::from_millis(ask.patience_ms + HOP_MS);
+    let limit = Duration::from_millis(ask.patience_ms + NETWORK_MS);
     let call = shared
         .peers
         .call(writer, limit, |client, context| async move { client.claim(context, ask).await });
     call.await.unwrap_or(ClaimReply::Silent)
 }
 
-async fn ask_here(shared: &Arc<Shared>, ask: ClaimAsk) -> ClaimReply {
+async fn claim_locally(shared: &Arc<Shared>, ask: ClaimAsk) -> ClaimReply {
     let (reply, answer) = oneshot::channel();
     if shared.control.send(Input::Claim { ask, reply }).await.is_err() {
         return ClaimReply::Silent;
@@ -85,12 +87,12 @@
     record(shared, claim, Some(reason.to_owned()), None);
 }
 
-/// Records in the background how a call ended; without an answer its outcome is unknown.
+/// Records in the background the answer of a call; without one its outcome is recorded as unknown.
 pub(crate) fn settle(shared: &Arc<Shared>, claim: &Claim, answer: Option<String>) {
-    record(shared, claim, None, answer.filter(|it| it.len() <= MAX_RECORDED));
+    record(shared, claim, None, answer.filter(|it| it.len() <= MAX_RECORDED_BYTES));
 }
 
-/// Tries until it has landed. A planned stop waits for it, within its limit.
+/// Retries until the outcome is recorded. A planned stop waits for it, up to the stop's own limit.
 fn record(shared: &Arc<Shared>, claim: &Claim, released: Option<String>, answer: Option<String>) {
     let settle = Settle {
         organisation: claim.key.organisation.clone(),
@@ -102,20 +104,20 @@
         answer,
     };
     let (shared, key) = (shared.clone(), claim.key.clone());
-    let working = shared.in_flight.start();
+    let in_flight = shared.in_flight.start();
     tokio::spawn(async move {
         while !record_once(&shared, &key, &settle).await {
             tokio::time::sleep(SETTLE_PAUSE).await;
         }
-        drop(working);
+        drop(in_flight);
     });
 }
 
 async fn record_once(shared: &Arc<Shared>, key: &ClaimKey, settle: &Settle) -> bool {
     if let Some(writer) = writer(shared, key) {
-        let asked = settle.clone();
-        let call = shared.peers.call(&writer, SETTLE_LIMIT, |client, context| async move {
-            client.settle(context, asked).await
+        let request = settle.clone();
+        let call = shared.peers.call(&writer, SETTLE_TIMEOUT, |client, context| async move {
+            client.settle(context, request).await
         });
         if call.await == Ok(true) {
             return true;
--- a/crates/holdpointd/src/traffic/generate.rs
+++ b/crates/holdpointd/src/traffic/generate.rs
@@ -1,5 +1,7 @@
-//! One attempt at a generation: start, resume where the connection breaks, hand chunks out in
-//! order, and end only at the end mark.
+//! Makes one attempt at a generation.
+//!
+//! Resumes the stream after a broken connection, forwards its chunks in order, and treats it as
+//! complete only at the end mark.
 
 use std::time::Duration;
 
@@ -21,24 +23,24 @@
     shared::{Shared, raised},
     traffic::{
         job::{Sink, StreamEvent},
-        stage::{AttemptError, Attempted, Work},
+        stage::{AttemptError, AttemptResult, StageRun},
     },
 };
 
-/// Most times one generation is resumed at its engine.
+/// Maximum number of times that one generation is resumed at its engine.
 const MAX_RESUMES: u32 = 6;
 /// Pause before a resume.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
 
-/// Where a caller's stream goes, and how it is known.
-pub(crate) struct Outlet<'a> {
+/// Forwards the chunks of a generation to a caller's stream; without a sink, only collects them.
+pub(crate) struct ChunkForwarder<'a> {
     pub(crate) shared: &'a Shared,
     pub(crate) sink: Option<&'a Sink>,
     pub(crate) place: Place,
 }
 
-/// A whole generation.
-pub(crate) struct Whole {
+/// A complete generation.
+pub(crate) struct GenerationResult {
     pub(crate) text: String,
     pub(crate) chunks: u64,
     pub(crate) engine_ms: u64,
@@ -46,20 +48,20 @@
 
 /// Makes one attempt at a generation.
 pub(crate) async fn attempt(
-    work: &Work<'_>,
+    work: &StageRun<'_>,
     address: &str,
     id: &AttemptId,
     completion: &Completion,
     limit: Duration,
     sink: Option<&Sink>,
-) -> Attempted {
+) -> AttemptResult {
     let job = work.job;
     let shared = &job.shared;
-    let until = Instant::now() + limit;
-    let (started, mut signs) = shared.engines.start(address, id, completion, limit).await;
+    let deadline = Instant::now() + limit;
+    let (started, mut info) = shared.engines.start(address, id, completion, limit).await;
     let generation = match started {
         Ok(it) => it,
-        Err(it) => return Attempted { result: Err(AttemptError::Call(it)), signs },
+        Err(it) => return AttemptResult { result: Err(AttemptError::Call(it)), info },
     };
     let place = Place {
         organisation: job.organisation.clone(),
@@ -70,80 +72,80 @@
         attempt: id.to_string(),
         next: 0,
     };
-    let mut outlet = Outlet { shared, sink, place };
-    // A stream that has begun to reach the caller may go on to the deadline.
-    let until = if sink.is_some() {
+    let mut forwarder = ChunkForwarder { shared, sink, place };
+    // A stream to the caller is bounded by the request's deadline, not by the attempt's timeout.
+    let deadline = if sink.is_some() {
         Instant::now() + Duration::from_millis(job.remaining())
     } else {
-        until
+        deadline
     };
     let guard = CancelOnDrop::new(shared, address, id, sink.is_none());
-    let result = outlet.carry(generation, id, until).await;
+    let result = forwarder.forward(generation, id, deadline).await;
     if !matches!(result, Err(AttemptError::Call(_))) {
-        guard.keep();
+        guard.disarm();
     }
     let result = result.map(|it| {
-        signs.cost_ms = it.engine_ms;
+        info.cost_ms = it.engine_ms;
         json!({ "text": it.text, "chunks": it.chunks })
     });
-    Attempted { result, signs }
+    AttemptResult { result, info }
 }
 
-impl Outlet<'_> {
-    /// Carries a generation to its end mark.
-    pub(crate) async fn carry(
+impl ChunkForwarder<'_> {
+    /// Forwards a generation up to its end mark.
+    pub(crate) async fn forward(
         &mut self,
         generation: Generation,
         id: &AttemptId,
-        until: Instant,
-    ) -> Result<Whole, AttemptError> {
+        deadline: Instant,
+    ) -> Result<GenerationResult, AttemptError> {
         let first = self.place.next;
         let mut generation = Some(generation);
         let mut assembler = Assembler::with_next(first);
-        let mut whole = Whole { text: String::new(), chunks: 0, engine_ms: 0 };
+        let mut res = GenerationResult { text: String::new(), chunks: 0, engine_ms: 0 };
         let mut resumes = 0;
         let mut hand_over = self.shared.hand_over.subscribe();
         loop {
             let Some(stream) = &mut generation else {
-                if MAX_RESUMES <= resumes || until <= Instant::now() {
-                    return Err(self.broken(first, CallError::Broken));
+                if MAX_RESUMES <= resumes || deadline <= Instant::now() {
+                    return Err(self.stream_error(first, CallError::Broken));
                 }
                 resumes += 1;
                 tokio::time::sleep(RESUME_PAUSE).await;
-                generation = self.resume(id, assembler.next_index(), until).await;
+                generation = self.resume(id, assembler.next_index(), deadline).await;
                 continue;
             };
             let event = tokio::select! {
-                event = tokio::time::timeout_at(until, stream.next()) => Some(event),
+                event = tokio::time::timeout_at(deadline, stream.next()) => Some(event),
                 () = raised(&mut hand_over), if self.sink.is_some() => None,
             };
-            let Some(event) = event else { return Err(self.moved().await) };
+            let Some(event) = event else { return Err(self.send_moved().await) };
             match event {
-                Err(_) => return Err(self.broken(first, CallError::Timeout)),
+                Err(_) => return Err(self.stream_error(first, CallError::Timeout)),
                 Ok(None) | Ok(Some(Err(_))) => generation = None,
                 Ok(Some(Ok(Generated::Chunk { index, text }))) => assembler.push(index, text),
-                Ok(Some(Ok(Generated::Usage { engine_ms }))) => whole.engine_ms = engine_ms,
+                Ok(Some(Ok(Generated::Usage { engine_ms }))) => res.engine_ms = engine_ms,
                 Ok(Some(Ok(Generated::End { chunks }))) => {
                     assembler.end(chunks);
-                    // An end mark with chunks missing: read those again.
+                    // Chunks before the end mark are missing: resume to read them again.
                     if assembler.progress() == Progress::Open {
                         generation = None;
                     }
                 }
             }
             while let Some((index, text)) = assembler.pop() {
-                whole.text.push_str(&text);
-                self.hand_out(index, text).await?;
+                res.text.push_str(&text);
+                self.send_chunk(index, text).await?;
             }
             if assembler.progress() == Progress::Whole {
-                whole.chunks = assembler.next_index();
+                res.chunks = assembler.next_index();
                 self.shared.metrics.dropped_chunks.add(assembler.dropped(), &[]);
-                return Ok(whole);
+                return Ok(res);
             }
         }
     }
 
-    async fn hand_out(&mut self, index: u64, text: String) -> Result<(), AttemptError> {
+    async fn send_chunk(&mut self, index: u64, text: String) -> Result<(), AttemptError> {
         self.place.next = index + 1;
         let Some(sink) = self.sink else { return Ok(()) };
         let token = seal(&self.place, &self.shared.token_keys);
@@ -151,28 +153,28 @@
         sent.map_err(|_| AttemptError::CallerGone)
     }
 
-    async fn resume(&self, id: &AttemptId, next: u64, until: Instant) -> Option<Generation> {
+    async fn resume(&self, id: &AttemptId, next: u64, deadline: Instant) -> Option<Generation> {
         self.shared.metrics.resumes.add(1, &[label("by", "instance")]);
-        let limit = until.saturating_duration_since(Instant::now());
+        let limit = deadline.saturating_duration_since(Instant::now());
         self.shared.engines.resume(&self.place.target, id, next, limit).await.ok()
     }
 
-    async fn moved(&self) -> AttemptError {
+    async fn send_moved(&self) -> AttemptError {
         let token = seal(&self.place, &self.shared.token_keys);
         let sink = self.sink.expect("only a stream is handed over");
-        // A caller who has gone resumes by the last token it saw.
+        // Fails if the caller has disconnected; it can resume with its last token.
         drop(sink.send(StreamEvent::Moved { token }).await);
         AttemptError::Moved
     }
 
-    /// A stream of which the caller has a part can be followed by nothing else.
-    fn broken(&self, first: u64, error: CallError) -> AttemptError {
-        let is_partly_out = self.sink.is_some() && first < self.place.next;
-        if is_partly_out { AttemptError::Cut } else { AttemptError::Call(error) }
+    /// Error of a broken stream. Once the caller has part of it, no other attempt may follow.
+    fn stream_error(&self, first: u64, error: CallError) -> AttemptError {
+        let is_partly_sent = self.sink.is_some() && first < self.place.next;
+        if is_partly_sent { AttemptError::Cut } else { AttemptError::Call(error) }
     }
 }
 
-/// Cancels a generation that is given up, so that its engine spends no more on it.
+/// Cancels an abandoned generation when dropped, so that its engine stops working on it.
 struct CancelOnDrop {
     engines: holdpoint_platform::EngineClient,
     address: String,
@@ -190,7 +192,7 @@
         }
     }
 
-    fn keep(mut self) {
+    fn disarm(mut self) {
         self.is_armed = false;
     }
 }
--- a/crates/holdpointd/src/traffic/job.rs
+++ b/crates/holdpointd/src/traffic/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way through the stages of its pipeline.
+//! Runs one request through the stages of its pipeline, each as soon as its inputs are available.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -34,12 +34,12 @@
     },
 };
 
-/// What a caller's stream is told.
+/// An event of a caller's stream.
 #[derive(Debug)]
 pub(crate) enum StreamEvent {
-    /// A chunk, with the token that resumes after it.
+    /// A chunk, with the token to resume after it.
     Chunk { token: String, text: String },
-    /// The stream goes on at another instance, by this token.
+    /// The stream can be resumed at another instance with this token.
     Moved { token: String },
     /// The whole answer has been sent.
     End(Box<Answer>),
@@ -47,12 +47,12 @@
     Failed(Box<Problem>),
 }
 
-/// Way to a caller's stream.
+/// Sender of a caller's stream.
 pub(crate) type Sink = mpsc::Sender<StreamEvent>;
 
-/// Trial and arm that a request belongs to.
+/// Trial and arm that a request belongs to, with the arm's policy.
 #[derive(Clone, Debug)]
-pub(crate) struct InTrial {
+pub(crate) struct TrialArm {
     pub(crate) trial: Name,
     pub(crate) arm: Name,
     pub(crate) policy: Policy,
@@ -67,48 +67,52 @@
     pub(crate) graph: Arc<Versioned<Graph>>,
     pub(crate) state: Arc<PipelineState>,
     pub(crate) input: Value,
+    /// Sequence number of the request at this instance.
     pub(crate) call: u64,
+    /// Request id.
     pub(crate) request: String,
     pub(crate) arrived: Millis,
     pub(crate) deadline: Millis,
+    /// Idempotency key; `None` if the pipeline may be repeated.
     pub(crate) key: Option<String>,
+    /// Fencing token: offset of the won claim in the log.
     pub(crate) token: Option<Offset>,
-    pub(crate) trial: Option<InTrial>,
+    pub(crate) trial: Option<TrialArm>,
     pub(crate) ledger: Ledger,
-    /// The worst that targets have reported of their load so far.
+    /// Highest load that targets have reported for this request.
     pub(crate) load: Mutex<Signal>,
 }
 
-/// How a request ended well.
-pub(crate) enum Done {
-    /// With the whole answer.
-    Whole(Answer),
-    /// Handed over: the rest is read at another instance.
+/// Outcome of a request that did not fail.
+pub(crate) enum RunOutcome {
+    /// The complete answer.
+    Complete(Answer),
+    /// The stream was handed over; the caller resumes it at another instance.
     Moved,
-    /// The caller of a stream has gone; it may resume elsewhere.
+    /// The stream's caller has disconnected; it may resume at another instance.
     CallerGone,
 }
 
 /// Why a stage failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Not enough time was left.
+    /// The remaining time was too short.
     Late,
     /// No target can be chosen.
     NoTarget(NoTarget),
-    /// The pool is no longer there.
+    /// The pool does not exist.
     NoPool,
     /// The request was closed while the stage started.
     Closed,
     /// The caller's input lacks a field.
     MissingField(String),
-    /// Every attempt failed.
+    /// The last attempt failed with this error.
     Failed(CallError),
-    /// A stream broke after a part of it went to the caller.
+    /// A stream broke after part of it was sent to the caller.
     Cut,
     /// The stream was handed over.
     Moved,
-    /// The stream's caller has gone.
+    /// The stream's caller has disconnected.
     CallerGone,
 }
 
@@ -120,7 +124,7 @@
     pub(crate) fault: Fault,
 }
 
-/// What a stage gave.
+/// Output of a stage and its report to the caller.
 #[derive(Debug)]
 pub(crate) struct StageDone {
     pub(crate) output: Value,
@@ -136,25 +140,28 @@
         self.deadline.saturating_sub(self.shared.clock.now())
     }
 
-    /// Notes the load that a target reported: the worst one counts.
-    pub(crate) fn note_load(&self, load: &TargetLoad) {
+    /// Records the load that a target reported; the highest is kept.
+    pub(crate) fn record_load(&self, load: &TargetLoad) {
         let mut worst = self.load.lock();
         *worst = worst.max(Signal::of_load(load.running, load.waiting));
     }
 
-    /// What the targets reported, for the gate.
+    /// Highest reported load, for admission control.
     pub(crate) fn signal(&self) -> Signal {
         *self.load.lock()
     }
 
-    /// Whether calls of a stage count as running the request: in a pipeline with calls that may
-    /// not be repeated, those; elsewhere, all.
-    pub(crate) fn counts(&self, stage: usize) -> bool {
+    /// Whether calls of a stage count as running the request. In a pipeline with non-repeatable
+    /// stages only their calls do; in any other pipeline all calls do.
+    pub(crate) fn is_counted(&self, stage: usize) -> bool {
         self.graph.spec.is_repeatable() || !self.graph.spec.steps[stage].stage.repeatable
     }
 
-    /// Runs all stages; a stage starts as soon as those that it needs have ended.
-    pub(crate) async fn run(&self, sink: Option<&Sink>) -> (Result<Done, StageFailure>, Costs) {
+    /// Runs all stages; a stage starts as soon as the stages it depends on have ended.
+    pub(crate) async fn run(
+        &self,
+        sink: Option<&Sink>,
+    ) -> (Result<RunOutcome, StageFailure>, Costs) {
         let graph = &self.graph.spec;
         let mut outputs: HashMap<usize, Value> = HashMap::new();
         let mut reports = Vec::new();
@@ -171,7 +178,7 @@
                 started[index] = true;
                 let resolved = match inputs(step, &self.input, &outputs) {
                     Ok(it) => it,
-                    Err(it) => return (Err(self.missing(index, it.0)), costs),
+                    Err(it) => return (Err(self.missing_field(index, it.0)), costs),
                 };
                 let sink = sink.filter(|_| index == graph.last());
                 running.push(async move { (index, stage::run(self, index, resolved, sink).await) });
@@ -183,17 +190,19 @@
                     outputs.insert(index, done.output);
                     reports.push(done.report);
                 }
-                Err(it) if it.fault == Fault::Moved => return (Ok(Done::Moved), costs),
-                Err(it) if it.fault == Fault::CallerGone => return (Ok(Done::CallerGone), costs),
+                Err(it) if it.fault == Fault::Moved => return (Ok(RunOutcome::Moved), costs),
+                Err(it) if it.fault == Fault::CallerGone => {
+                    return (Ok(RunOutcome::CallerGone), costs);
+                }
                 Err(it) => return (Err(it), costs),
             }
         }
         let output = outputs.remove(&graph.last()).unwrap_or_default();
         let answer = Answer { request: self.request.clone(), output, stages: reports };
-        (Ok(Done::Whole(answer)), costs)
+        (Ok(RunOutcome::Complete(answer)), costs)
     }
 
-    /// The problem that a failed stage makes of the request.
+    /// Problem of a request whose stage failed; closes the ledger.
     pub(crate) fn problem(&self, failure: &StageFailure) -> Problem {
         let is_unsafe = self.key.is_some();
         let kind = match &failure.fault {
@@ -219,7 +228,7 @@
         problem.with_detail(detail).with_request(&self.request)
     }
 
-    /// What a failed request was lost to.
+    /// Cause that a failed request is counted under.
     pub(crate) fn cause(failure: &StageFailure, kind: ProblemKind) -> Cause {
         Cause {
             stage: failure.stage.clone(),
@@ -228,7 +237,7 @@
         }
     }
 
-    fn missing(&self, index: usize, field: String) -> StageFailure {
+    fn missing_field(&self, index: usize, field: String) -> StageFailure {
         StageFailure {
             stage: self.graph.spec.steps[index].stage.name.clone(),
             target: String::new(),
--- a/crates/holdpointd/src/traffic/mod.rs
+++ b/crates/holdpointd/src/traffic/mod.rs
@@ -1,4 +1,6 @@
-//! Traffic: callers' requests, from admission through the stages to the answer.
+//! Handles callers' requests: admission, claims, the stages of a pipeline, and the response.
+//!
+//! Holds the state of the traffic threads, by pool, pipeline and trial.
 
 mod admission;
 mod callers;
@@ -48,7 +50,7 @@
 }
 
 impl Traffic {
-    /// Makes the state of an instance with no traffic yet.
+    /// Creates the state of an instance that has not served a request.
     pub fn new(settings: &Settings) -> Traffic {
         Traffic {
             admission: admission::Admission::new(settings.limits.concurrency as usize),
@@ -59,11 +61,11 @@
     }
 }
 
-/// What the traffic threads know of one pool.
+/// State of one pool, shared by the traffic threads.
 #[derive(Debug)]
 struct PoolState {
     router: Mutex<Router>,
-    /// The list of members that the router last took in.
+    /// Members that the router was last given.
     members: Mutex<Arc<Vec<Member>>>,
     retries: Mutex<RetryBudget>,
     times: Mutex<Times>,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Brings the router's members and policy up to date.
+    /// Updates the router's members and policy where they have changed.
     fn refresh(&self, members: &Arc<Vec<Member>>, policy: &Policy) {
         let mut known = self.members.lock();
         let mut router = self.router.lock();
@@ -94,10 +96,10 @@
     }
 }
 
-/// What the traffic threads know of one pipeline.
+/// State of one pipeline, shared by the traffic threads.
 #[derive(Debug, Default)]
 struct PipelineState {
-    /// Times of the stages, by name.
+    /// Durations of the stages, by name.
     times: Mutex<BTreeMap<Name, Times>>,
     burn: Mutex<Burn>,
 }
--- a/crates/holdpointd/src/traffic/problem.rs
+++ b/crates/holdpointd/src/traffic/problem.rs
@@ -1,4 +1,4 @@
-//! Problems as callers see them (RFC 9457), each saying whether the request was run.
+//! Problem documents for callers (RFC 9457). Each states whether the request was run.
 
 use axum::{
     Json,
@@ -17,12 +17,12 @@
         }
 
         impl ProblemKind {
-            /// Name in the problem's type.
+            /// Name, as in the problem's type URN.
             pub fn name(self) -> &'static str {
                 match self { $(ProblemKind::$name => $text,)* }
             }
 
-            /// HTTP status.
+            /// HTTP status code.
             pub fn status(self) -> u16 {
                 match self { $(ProblemKind::$name => $status,)* }
             }
@@ -50,7 +50,7 @@
     SlowBody = "slow-body" 408 "The body did not arrive in time";
     /// The body is over the limit.
     TooLarge = "too-large" 413 "The body is too large";
-    /// A pipeline that may not be repeated needs an idempotency key.
+    /// The pipeline may not be repeated, so it needs an idempotency key.
     KeyMissing = "key-missing" 400 "This pipeline needs an Idempotency-Key";
     /// The idempotency key is not a UUID of version 7, or lies in the future.
     KeyInvalid = "key-invalid" 400 "The Idempotency-Key is not a current UUID of version 7";
@@ -63,26 +63,26 @@
     /// The outcome of the first request with this key is not known.
     OutcomeUnknown = "outcome-unknown" 502 "The outcome is not known";
     /// The log could not record the claim in time.
-    LogSilent = "log-silent" 503 "The claim could not be recorded in time";
+    LogUnavailable = "log-silent" 503 "The claim could not be recorded in time";
     /// The organisation has too many requests in flight.
     OrganisationLimit = "organisation-limit" 429 "The organisation has too many requests in flight";
     /// The request would not be answered in time.
     Overload = "overload" 503 "The request would not be answered in time";
-    /// The patience is shorter than the work takes.
-    Hopeless = "deadline-too-short" 504 "The patience is shorter than the work takes";
+    /// The caller's deadline is shorter than the expected processing time.
+    DeadlineTooShort = "deadline-too-short" 504 "The patience is shorter than the work takes";
     /// The deadline passed.
     Deadline = "deadline" 504 "The deadline passed";
-    /// A stage has no target to go to.
+    /// No target is available for a stage.
     NoTarget = "no-target" 503 "A stage has no target to go to";
     /// A stage failed.
     StageFailed = "stage-failed" 502 "A stage failed";
     /// The resume token is not accepted.
     BadToken = "bad-token" 400 "The resume token is not accepted";
-    /// The stream is no longer held.
+    /// The stream is no longer available.
     StreamGone = "stream-gone" 410 "The stream is no longer held";
 }
 
-/// A problem on its way to a caller.
+/// A problem to be sent to a caller.
 #[derive(Clone, Debug)]
 pub struct Problem {
     kind: ProblemKind,
@@ -94,17 +94,17 @@
 }
 
 impl Problem {
-    /// Makes a problem of a request that was not run, which needs the proof.
+    /// Creates a problem of a request that was not run, as the proof shows.
     pub fn not_run(kind: ProblemKind, _proof: NotRun) -> Problem {
         Problem::new(kind, caller::Run::No)
     }
 
-    /// Makes a problem of a request that may have been run.
+    /// Creates a problem of a request that may have been run.
     pub fn may_have_run(kind: ProblemKind) -> Problem {
         Problem::new(kind, caller::Run::Unknown)
     }
 
-    /// Makes a problem that was found before there was a request to run.
+    /// Creates a problem found before any call to a target could be made.
     pub fn before_start(kind: ProblemKind) -> Problem {
         match Ledger::new().close() {
             Ok(proof) => Problem::not_run(kind, proof),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Makes the problem of a request under a ledger, which is closed for good.
+    /// Creates a problem of a request with this ledger and closes the ledger permanently.
     pub fn of_ledger(kind: ProblemKind, ledger: &Ledger) -> Problem {
         match ledger.close() {
             Ok(proof) => Problem::not_run(kind, proof),
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Adds a text.
+    /// Adds a detail text.
     pub fn with_detail(mut self, detail: impl Into<String>) -> Problem {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Adds the JSON pointer of the field at fault.
+    /// Adds the name of the invalid header or the JSON pointer of the invalid field.
     pub fn with_path(mut self, path: impl Into<String>) -> Problem {
         self.path = Some(path.into());
         self
@@ -138,13 +138,13 @@
         self
     }
 
-    /// Adds when to come back, in milliseconds from now.
+    /// Adds a `Retry-After` header; `ms` is rounded up to whole seconds, at least one.
     pub fn with_retry_after(mut self, ms: u64) -> Problem {
         self.retry_after_ms = Some(ms);
         self
     }
 
-    /// Kind.
+    /// Kind of the problem.
     pub fn kind(&self) -> ProblemKind {
         self.kind
     }
--- a/crates/holdpointd/src/traffic/report.rs
+++ b/crates/holdpointd/src/traffic/report.rs
@@ -1,4 +1,4 @@
-//! Reports: service-level burn and trials, of one instance or merged over all.
+//! Reports of error-budget burn and trials, for one instance or merged over all live ones.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -11,56 +11,56 @@
 
 use crate::shared::Shared;
 
-/// How long a peer may take to send its part.
-const LIMIT: Duration = Duration::from_millis(2000);
+/// Timeout of a peer's report.
+const PEER_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Part of one instance, or the sum of several.
+/// Report of one instance, or the sum over several.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Windows of each pipeline.
+    /// Burn windows of each pipeline.
     pub burn: BTreeMap<Name, Vec<Window>>,
-    /// Figures of each trial's arms.
+    /// Statistics of each trial's arms.
     pub trials: BTreeMap<Name, BTreeMap<Name, ArmStats>>,
-    /// Instances that it covers.
+    /// Instances included.
     pub instances: Vec<Name>,
-    /// Instances that gave no answer.
+    /// Peers that did not answer.
     pub silent: Vec<String>,
 }
 
-/// Service-level burn of one pipeline.
+/// Error-budget burn of one pipeline.
 #[derive(Clone, Debug, Serialize)]
 pub struct BurnReport {
     /// Pipeline.
     pub pipeline: Name,
-    /// Share of requests to be answered once, whole and in time.
+    /// Target fraction of requests answered once, completely and on time.
     pub objective: f64,
-    /// Windows, the shortest first.
+    /// Burn windows, shortest first.
     pub windows: Vec<Window>,
 }
 
-/// One trial.
+/// Result of one trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct TrialReport {
     /// Trial.
     pub trial: Name,
     /// Verdict.
     pub verdict: Verdict,
-    /// Arms with attainment, cost a request and figures.
+    /// Results of the arms, by name.
     pub arms: BTreeMap<Name, ArmReport>,
 }
 
-/// One arm of a trial.
+/// Result of one arm of a trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct ArmReport {
-    /// Attainment with its interval of 95 in 100.
+    /// Attainment with its 95 % confidence interval.
     pub attainment: Interval,
-    /// Engine milliseconds a request.
+    /// Mean engine milliseconds per request.
     pub mean_cost: f64,
-    /// Figures.
+    /// Statistics.
     pub stats: ArmStats,
 }
 
-/// Part of this instance.
+/// Report of this instance.
 pub(crate) fn local_report(shared: &Shared) -> Report {
     let view = shared.now();
     let now = shared.clock.now();
@@ -76,14 +76,14 @@
     report
 }
 
-/// Sum over this instance and all live peers.
+/// Report of this instance merged with those of all live peers.
 pub(crate) async fn merged_report(shared: &Arc<Shared>) -> Report {
     let mut report = local_report(shared);
     let view = shared.now();
     let calls = view.peers.iter().map(|peer| async move {
-        let call = shared
-            .peers
-            .call(peer, LIMIT, |client, context| async move { client.report(context).await });
+        let call = shared.peers.call(peer, PEER_TIMEOUT, |client, context| async move {
+            client.report(context).await
+        });
         let text = call.await.ok()?;
         serde_json::from_str::<Report>(&text).ok()
     });
@@ -103,21 +103,21 @@
             let objective = view.catalog.pipelines.get(name).map_or(0.95, |it| it.spec.objective);
             match self.burn.get_mut(name) {
                 None => drop(self.burn.insert(name.clone(), windows.clone())),
-                Some(mine) => {
-                    mine.iter_mut().zip(windows).for_each(|(a, b)| a.merge(b, objective));
+                Some(own) => {
+                    own.iter_mut().zip(windows).for_each(|(a, b)| a.merge(b, objective));
                 }
             }
         }
         for (name, arms) in &other.trials {
-            let mine = self.trials.entry(name.clone()).or_default();
+            let own = self.trials.entry(name.clone()).or_default();
             for (arm, stats) in arms {
-                mine.entry(arm.clone()).or_default().merge(stats);
+                own.entry(arm.clone()).or_default().merge(stats);
             }
         }
         self.instances.extend(other.instances.iter().cloned());
     }
 
-    /// Burn of each pipeline that still exists.
+    /// Burn of each pipeline in the catalog.
     pub fn burn_reports(&self, view: &crate::shared::Published) -> Vec<BurnReport> {
         let of = |(name, windows): (&Name, &Vec<Window>)| {
             let objective = view.catalog.pipelines.get(name)?.spec.objective;
@@ -126,7 +126,7 @@
         self.burn.iter().filter_map(of).collect()
     }
 
-    /// One trial, where it exists.
+    /// Result of a trial; `None` if the catalog has no such trial.
     pub fn trial_report(&self, view: &crate::shared::Published, name: &str) -> Option<TrialReport> {
         let trial = &view.catalog.trials.get(name)?.spec;
         let stats = self.trials.get(name).cloned().unwrap_or_default();
--- a/crates/holdpointd/src/traffic/resume.rs
+++ b/crates/holdpointd/src/traffic/resume.rs
@@ -1,4 +1,5 @@
-//! Resumes a caller's stream by its token, at whichever instance the caller reaches.
+//! Resumes a caller's stream from its token. Any instance can do so, since the token names the
+//! target, the attempt and the next chunk.
 
 use std::{str::FromStr, sync::Arc, time::Duration};
 
@@ -21,61 +22,62 @@
     shared::Shared,
     traffic::{
         callers::authenticate,
-        generate::Outlet,
+        generate::ChunkForwarder,
         job::{Sink, StreamEvent},
         problem::{Problem, ProblemKind},
-        running::SINK,
+        running::SINK_CAPACITY,
         sse,
         stage::AttemptError,
     },
 };
 
-/// `GET /v1/requests/{id}` with the last token seen as `Last-Event-ID`.
+/// Handles `GET /v1/requests/{id}`, with the last token received as `Last-Event-ID`.
 pub(crate) async fn resume(
     State(shared): State<Arc<Shared>>,
     Path(request): Path<String>,
     headers: HeaderMap,
 ) -> Response {
-    match place(&shared, &request, &headers) {
+    match read_place(&shared, &request, &headers) {
         Ok(it) => stream(shared, it).await,
         Err(it) => it.with_request(request).into_response(),
     }
 }
 
-fn place(shared: &Shared, request: &str, headers: &HeaderMap) -> Result<Place, Problem> {
+fn read_place(shared: &Shared, request: &str, headers: &HeaderMap) -> Result<Place, Problem> {
     let view = shared.now();
     if !shared.may_serve(&view) {
-        return Err(resumable(ProblemKind::NotReady).with_retry_after(1000));
+        return Err(resume_problem(ProblemKind::NotReady).with_retry_after(1000));
     }
     let (organisation, _) = authenticate(&view, headers)?;
     let token = headers.get("last-event-id").and_then(|it| it.to_str().ok());
-    let token = token.ok_or_else(|| resumable(ProblemKind::BadToken).with_path("Last-Event-ID"))?;
+    let token =
+        token.ok_or_else(|| resume_problem(ProblemKind::BadToken).with_path("Last-Event-ID"))?;
     let place = open(token, &shared.token_keys)
-        .map_err(|it| resumable(ProblemKind::BadToken).with_detail(format!("{it:?}")))?;
+        .map_err(|it| resume_problem(ProblemKind::BadToken).with_detail(format!("{it:?}")))?;
     if place.organisation != *organisation || place.request != request {
-        return Err(resumable(ProblemKind::Forbidden));
+        return Err(resume_problem(ProblemKind::Forbidden));
     }
     Ok(place)
 }
 
-/// The request itself was run before; only this reading of it has a problem.
-fn resumable(kind: ProblemKind) -> Problem {
+/// Problem of a resumption. The request itself has been started earlier, so it may have run.
+fn resume_problem(kind: ProblemKind) -> Problem {
     Problem::may_have_run(kind)
 }
 
 async fn stream(shared: Arc<Shared>, place: Place) -> Response {
-    let (sink, events) = mpsc::channel(SINK);
+    let (sink, events) = mpsc::channel(SINK_CAPACITY);
     let request = place.request.clone();
-    let working = shared.in_flight.start();
+    let in_flight = shared.in_flight.start();
     tokio::spawn(async move {
-        carry(&shared, place, &sink).await;
-        drop(working);
+        forward(&shared, place, &sink).await;
+        drop(in_flight);
     });
-    let gone = resumable(ProblemKind::StreamGone).with_request(request);
-    sse::answer(ReceiverStream::new(events), gone).await
+    let closed = resume_problem(ProblemKind::StreamGone).with_request(request);
+    sse::answer(ReceiverStream::new(events), closed).await
 }
 
-async fn carry(shared: &Shared, place: Place, sink: &Sink) {
+async fn forward(shared: &Shared, place: Place, sink: &Sink) {
     shared.metrics.resumes.add(1, &[label("by", "caller")]);
     let limit = Duration::from_millis(shared.settings.limits.max_patience_ms);
     let request = place.request.clone();
@@ -83,11 +85,11 @@
         Err(_) => Err(ProblemKind::BadToken),
         Ok(id) => {
             let started = shared.engines.resume(&place.target, &id, place.next, limit).await;
-            let mut outlet = Outlet { shared, sink: Some(sink), place };
+            let mut forwarder = ChunkForwarder { shared, sink: Some(sink), place };
             match started {
                 Err(_) => Err(ProblemKind::StreamGone),
-                Ok(it) => match outlet.carry(it, &id, Instant::now() + limit).await {
-                    Ok(whole) => Ok(whole),
+                Ok(it) => match forwarder.forward(it, &id, Instant::now() + limit).await {
+                    Ok(res) => Ok(res),
                     Err(AttemptError::Moved | AttemptError::CallerGone) => return,
                     Err(AttemptError::Call(_) | AttemptError::Cut) => Err(ProblemKind::StageFailed),
                 },
@@ -95,12 +97,12 @@
         }
     };
     let event = match ended {
-        Ok(whole) => {
-            let output = json!({ "chunks": whole.chunks });
+        Ok(res) => {
+            let output = json!({ "chunks": res.chunks });
             StreamEvent::End(Box::new(Answer { request, output, stages: Vec::new() }))
         }
-        Err(kind) => StreamEvent::Failed(Box::new(resumable(kind).with_request(request))),
+        Err(kind) => StreamEvent::Failed(Box::new(resume_problem(kind).with_request(request))),
     };
-    // The caller may have gone; its token stays good.
+    // Fails if the caller has disconnected; its token remains valid.
     drop(sink.send(event).await);
 }
--- a/crates/holdpointd/src/traffic/running.rs
+++ b/crates/holdpointd/src/traffic/running.rs
@@ -1,4 +1,6 @@
-//! A request from admission to its end: how it is answered, recorded and counted.
+//! Runs an admitted request, answers it, and records its outcome.
+//!
+//! The outcome goes to the claim, the trial's statistics, the error budget and the metrics.
 
 use axum::{
     Json,
@@ -16,22 +18,22 @@
     traffic::{
         admission::Admitted,
         claim::{self, Claim},
-        job::{Done, Job, Sink, StreamEvent},
+        job::{Job, RunOutcome, Sink, StreamEvent},
         problem::{Problem, ProblemKind},
         sse,
     },
 };
 
-/// Chunks that wait for a slow caller before its generation is read no further.
-pub(crate) const SINK: usize = 64;
+/// Chunks buffered for a slow caller before reading of its generation pauses.
+pub(crate) const SINK_CAPACITY: usize = 64;
 
-/// A request that has been admitted and, where it must be, claimed.
+/// A request that has been admitted and, if its pipeline may not be repeated, claimed.
 pub(crate) struct Running {
     job: Job,
     claim: Option<Claim>,
     admitted: Admitted,
-    /// Keeps a planned stop waiting until the request has ended.
-    _working: Working,
+    /// Delays a planned stop until the request has ended.
+    _in_flight: Working,
 }
 
 impl Running {
@@ -39,25 +41,25 @@
         job: Job,
         claim: Option<Claim>,
         admitted: Admitted,
-        working: Working,
+        in_flight: Working,
     ) -> Running {
-        Running { job, claim, admitted, _working: working }
+        Running { job, claim, admitted, _in_flight: in_flight }
     }
 
-    /// Runs to the end and answers in one piece. A claimed request runs on even if its caller
-    /// goes: its outcome is to be recorded. Any other is given up with its caller.
-    pub(crate) async fn answered(self) -> Result<Response, Problem> {
-        let whole = if self.claim.is_some() {
+    /// Runs the request and answers with one document. A claimed request continues after its caller
+    /// disconnects because its outcome must be recorded; any other is cancelled.
+    pub(crate) async fn respond(self) -> Result<Response, Problem> {
+        let res = if self.claim.is_some() {
             let task = tokio::spawn(self.run(None));
             task.await.unwrap_or_else(|_| Err(Problem::may_have_run(ProblemKind::StageFailed)))
         } else {
             self.run(None).await
         };
-        whole.map(|it| Json(it).into_response())
+        res.map(|it| Json(it).into_response())
     }
 
-    pub(crate) async fn streamed(self) -> Response {
-        let (sink, events) = mpsc::channel(SINK);
+    pub(crate) async fn respond_stream(self) -> Response {
+        let (sink, events) = mpsc::channel(SINK_CAPACITY);
         let request = self.job.request.clone();
         tokio::spawn(async move {
             let event = match self.run(Some(&sink)).await {
@@ -65,18 +67,18 @@
                 Ok(None) => return,
                 Err(it) => StreamEvent::Failed(Box::new(it)),
             };
-            // The caller may have gone.
+            // Fails if the caller has disconnected.
             drop(sink.send(event).await);
         });
-        let gone = Problem::may_have_run(ProblemKind::StageFailed).with_request(request);
-        sse::answer(ReceiverStream::new(events), gone).await
+        let closed = Problem::may_have_run(ProblemKind::StageFailed).with_request(request);
+        sse::answer(ReceiverStream::new(events), closed).await
     }
 
-    /// Runs the stages, records how it ended, and returns the whole answer, or nothing where the
-    /// rest is read elsewhere.
+    /// Runs the stages, records the outcome, and returns the answer; `None` if the stream was
+    /// handed over or its caller has disconnected.
     async fn run(mut self, sink: Option<&Sink>) -> Result<Option<Answer>, Problem> {
         let (result, costs) = self.job.run(sink).await;
-        self.admitted.note(self.job.signal());
+        self.admitted.set_signal(self.job.signal());
         let now = self.job.shared.clock.now();
         let is_on_time = now <= self.job.deadline;
         let shared = self.job.shared.clone();
@@ -89,17 +91,17 @@
         let pipeline = [label("pipeline", self.job.pipeline.clone())];
         shared.metrics.latency.record(took as f64, &pipeline);
         let ended = match result {
-            Ok(Done::Whole(answer)) => Ok(Some(answer)),
-            Ok(Done::Moved | Done::CallerGone) => Ok(None),
+            Ok(RunOutcome::Complete(answer)) => Ok(Some(answer)),
+            Ok(RunOutcome::Moved | RunOutcome::CallerGone) => Ok(None),
             Err(failure) => Err((self.job.problem(&failure), failure)),
         };
         match ended {
             Ok(answer) => {
-                self.ended_well(now, is_on_time, answer.as_ref());
+                self.record_success(now, is_on_time, answer.as_ref());
                 Ok(answer)
             }
             Err((problem, failure)) => {
-                self.ended_badly(&problem);
+                self.record_failure(&problem);
                 let cause = Job::cause(&failure, problem.kind());
                 self.job.state.burn.lock().bad(now, cause);
                 Err(problem)
@@ -107,7 +109,7 @@
         }
     }
 
-    fn ended_well(&self, now: Millis, is_on_time: bool, answer: Option<&Answer>) {
+    fn record_success(&self, now: Millis, is_on_time: bool, answer: Option<&Answer>) {
         let shared = &self.job.shared;
         if is_on_time {
             self.job.state.burn.lock().good(now);
@@ -124,7 +126,7 @@
         count(shared, &self.job.pipeline, outcome);
     }
 
-    fn ended_badly(&self, problem: &Problem) {
+    fn record_failure(&self, problem: &Problem) {
         let shared = &self.job.shared;
         if let Some(claim) = &self.claim {
             match problem.run() {
@@ -141,7 +143,7 @@
     }
 }
 
-/// Counts a request under its outcome.
+/// Increments the request counter of an outcome.
 pub(crate) fn count(shared: &Shared, pipeline: &str, outcome: &'static str) {
     let labels = [label("pipeline", pipeline), label("outcome", outcome)];
     shared.metrics.requests.add(1, &labels);
--- a/crates/holdpointd/src/traffic/sse.rs
+++ b/crates/holdpointd/src/traffic/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events to callers.
+//! Encodes a caller's stream as server-sent events.
 
 use std::convert::Infallible;
 
@@ -12,11 +12,11 @@
 
 use crate::traffic::{job::StreamEvent, problem::Problem};
 
-/// Answers with a stream once its first event is there. A request that fails before it gets a
-/// plain problem, with its status.
-pub(crate) async fn answer(mut events: ReceiverStream<StreamEvent>, gone: Problem) -> Response {
+/// Answers with a stream once its first event is available. A request that fails before that gets
+/// a problem document with its HTTP status; `closed` is the answer if there is no event at all.
+pub(crate) async fn answer(mut events: ReceiverStream<StreamEvent>, closed: Problem) -> Response {
     match events.next().await {
-        None => gone.into_response(),
+        None => closed.into_response(),
         Some(StreamEvent::Failed(problem)) => problem.into_response(),
         Some(first) => {
             let all = stream::iter([first]).chain(events).map(event);
@@ -32,12 +32,12 @@
             Event::default().event("chunk").id(token).data(data)
         }
         StreamEvent::Moved { token } => Event::default().event("moved").id(token).data("{}"),
-        StreamEvent::End(answer) => named("end", &*answer),
-        StreamEvent::Failed(problem) => named("problem", &problem.document()),
+        StreamEvent::End(answer) => json_event("end", &*answer),
+        StreamEvent::Failed(problem) => json_event("problem", &problem.document()),
     }
 }
 
-fn named(name: &str, value: &impl serde::Serialize) -> Event {
+fn json_event(name: &str, value: &impl serde::Serialize) -> Event {
     let data = serde_json::to_string(value).unwrap_or_default();
     Event::default().event(name).data(data)
 }
--- a/crates/holdpointd/src/traffic/stage.rs
+++ b/crates/holdpointd/src/traffic/stage.rs
@@ -1,4 +1,7 @@
-//! One stage of a request: choose a target, call it, and try again where that is allowed.
+//! Runs one stage of a request: chooses a target, calls it, and retries where that is allowed.
+//!
+//! A call that was never sent may always be retried. Any other failed call is retried only if it is
+//! repeatable and the pool's retry budget has credit.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,7 +14,7 @@
 };
 use holdpoint_platform::{
     CallError,
-    target::{Signs, TargetCall},
+    target::{TargetCall, TargetInfo},
 };
 use holdpoint_schema::{
     caller::StageReport,
@@ -33,40 +36,40 @@
     },
 };
 
-/// Most attempts at one stage.
+/// Maximum number of attempts at one stage, the first included.
 const MAX_ATTEMPTS: u32 = 4;
-/// Pause before a target is looked for again while all are busy.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
-/// Part of the prompt that its prefix hash is taken from, in bytes.
+/// Pause before choosing a target again while all are at their concurrency limit.
+const BUSY_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Length of the prompt prefix that is hashed, in bytes.
 const PREFIX_BYTES: usize = 256;
-/// Bytes of a prompt that make one unit of work.
-const BYTES_A_UNIT: f64 = 160.0;
-/// Part of reading a prompt that a cached prefix saves.
-const PREFIX_SAVES: f64 = 0.5;
-/// An attempt that may be repeated is given up after this many times its usual time.
-const PATIENCE_FACTOR: u64 = 4;
-/// An attempt is never given up earlier than this, in milliseconds.
-const LEAST_ATTEMPT_MS: Millis = 250;
+/// Prompt bytes that count as one unit of work, the work of one generated token.
+const BYTES_PER_UNIT: f64 = 160.0;
+/// Fraction of the prompt's work that a cached prefix saves.
+const PREFIX_SAVING: f64 = 0.5;
+/// Timeout of an attempt that may be repeated, as a multiple of the pool's 95th percentile.
+const TIMEOUT_FACTOR: u64 = 4;
+/// Lower bound of that timeout, in milliseconds.
+const MIN_ATTEMPT_MS: Millis = 250;
 
-/// A stage while it is worked on.
-pub(crate) struct Work<'a> {
+/// A stage that is being run.
+pub(crate) struct StageRun<'a> {
     pub(crate) job: &'a Job,
     pub(crate) index: usize,
     pub(crate) stage: &'a Stage,
     pub(crate) pool: &'a Pool,
     pub(crate) state: Arc<PoolState>,
     pub(crate) inputs: Map<String, Value>,
-    /// Work expected: tokens to be generated, and the prompt in the same unit.
+    /// Expected work: tokens to generate, plus the prompt converted to tokens.
     pub(crate) units: f64,
     prompt_units: f64,
     pub(crate) prefix: Option<u64>,
     policy: Policy,
 }
 
-/// What one attempt gave.
-pub(crate) struct Attempted {
+/// Result of one attempt, with what the target reported about itself.
+pub(crate) struct AttemptResult {
     pub(crate) result: Result<Value, AttemptError>,
-    pub(crate) signs: Signs,
+    pub(crate) info: TargetInfo,
 }
 
 /// Why one attempt failed.
@@ -74,15 +77,15 @@
 pub(crate) enum AttemptError {
     /// The call failed; another target may be tried where that is allowed.
     Call(CallError),
-    /// A part of the answer is with the caller, so nothing else can follow it.
+    /// The stream broke after part of it was sent to the caller, so it cannot be retried.
     Cut,
-    /// The rest is read at another instance.
+    /// The stream was handed over; the caller resumes it at another instance.
     Moved,
-    /// The caller has gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// Runs a stage; returns its result and the engine milliseconds spent on it in all attempts.
+/// Runs a stage; returns its result and the engine milliseconds that all attempts cost.
 pub(crate) async fn run(
     job: &Job,
     index: usize,
@@ -98,7 +101,7 @@
     let Some(pool) = job.view.catalog.pools.get(&stage.pool) else {
         return (Err(failure("", Fault::NoPool)), 0);
     };
-    let work = Work::new(job, index, stage, &pool.spec, inputs);
+    let work = StageRun::new(job, index, stage, &pool.spec, inputs);
     let mut cost = 0;
     let result = work.attempts(sink, &mut cost).await;
     (result.map_err(|(target, fault)| failure(&target, fault)), cost)
@@ -106,14 +109,14 @@
 
 type Failed = (String, Fault);
 
-impl<'a> Work<'a> {
+impl<'a> StageRun<'a> {
     fn new(
         job: &'a Job,
         index: usize,
         stage: &'a Stage,
         pool: &'a Pool,
         inputs: Map<String, Value>,
-    ) -> Work<'a> {
+    ) -> StageRun<'a> {
         let catalog = &job.view.catalog;
         let own = catalog.policy(&pool.policy);
         let settings = &job.shared.settings;
@@ -122,12 +125,12 @@
         state.refresh(&members_of(&job.view.targets, &stage.pool), &own);
         let policy = job.trial.as_ref().map_or(own, |it| it.policy.clone());
         let prompt = (pool.kind == PoolKind::Engine).then(|| prompt(&inputs));
-        let prompt_units = prompt.as_ref().map_or(0.0, |it| it.len() as f64 / BYTES_A_UNIT);
+        let prompt_units = prompt.as_ref().map_or(0.0, |it| it.len() as f64 / BYTES_PER_UNIT);
         let tokens = prompt.as_ref().map_or(1.0, |_| f64::from(stage.max_tokens));
         let head = |it: &String| xxh3_64(&it.as_bytes()[..it.len().min(PREFIX_BYTES)]);
         let prefix = prompt.as_ref().map(head);
         let units = tokens + prompt_units;
-        Work { job, index, stage, pool, state, inputs, units, prompt_units, prefix, policy }
+        StageRun { job, index, stage, pool, state, inputs, units, prompt_units, prefix, policy }
     }
 
     async fn attempts(&self, sink: Option<&Sink>, cost: &mut u64) -> Result<StageDone, Failed> {
@@ -136,19 +139,19 @@
         let mut tried: Vec<String> = Vec::new();
         let mut last = Fault::Late;
         for attempt in 0..MAX_ATTEMPTS {
-            let left = self.budget().ok_or_else(|| (String::new(), late_or(&last)))?;
+            let left = self.budget().ok_or_else(|| (String::new(), last_or_late(&last)))?;
             let address = match self.choose(&tried).await {
                 Ok(it) => it,
                 Err(NoTarget::Tried) => return Err((tried.pop().unwrap_or_default(), last)),
                 Err(it) => return Err((String::new(), Fault::NoTarget(it))),
             };
             let begun = self.begin().ok_or_else(|| (address.clone(), Fault::Closed))?;
-            let asked = self.job.shared.clock.now();
-            let limit = self.limit(left, attempt);
+            let sent_at = self.job.shared.clock.now();
+            let limit = self.attempt_timeout(left, attempt);
             let attempted = self.attempt(&address, attempt, limit, sink).await;
-            *cost += self.ended(&address, asked, &attempted);
+            *cost += self.record_end(&address, sent_at, &attempted);
             match attempted.result {
-                Ok(output) => return Ok(self.done(output, &address, started, *cost)),
+                Ok(output) => return Ok(self.stage_done(output, &address, started, *cost)),
                 Err(AttemptError::Cut) => return Err((address, Fault::Cut)),
                 Err(AttemptError::Moved) => return Err((address, Fault::Moved)),
                 Err(AttemptError::CallerGone) => return Err((address, Fault::CallerGone)),
@@ -168,7 +171,7 @@
         Err((tried.pop().unwrap_or_default(), last))
     }
 
-    /// What is left for this stage, in milliseconds; `None` where it cannot end in time.
+    /// Time that this stage may take, in milliseconds; `None` if it cannot finish by the deadline.
     fn budget(&self) -> Option<Millis> {
         let graph = &self.job.graph.spec;
         let times = self.job.state.times.lock();
@@ -184,16 +187,16 @@
         }
     }
 
-    /// How long one attempt may take. One that may be repeated leaves time for another, should
-    /// its target hang; the last one has all that is left.
-    fn limit(&self, left: Millis, attempt: u32) -> Duration {
+    /// Timeout of one attempt. An attempt that may be repeated leaves time for another in case its
+    /// target hangs; the last attempt gets all the remaining time.
+    fn attempt_timeout(&self, left: Millis, attempt: u32) -> Duration {
         let usual = self.state.times.lock().quantile(0.95);
-        let early = usual.map_or(left / 2, |it| (PATIENCE_FACTOR * it).max(LEAST_ATTEMPT_MS));
+        let early = usual.map_or(left / 2, |it| (TIMEOUT_FACTOR * it).max(MIN_ATTEMPT_MS));
         let is_last = attempt + 1 == MAX_ATTEMPTS || !self.may_repeat();
         Duration::from_millis(if is_last { left } else { early.min(left) })
     }
 
-    /// Whether a call that may have been sent can be made again.
+    /// Whether a call that may have reached a target can be repeated.
     fn may_repeat(&self) -> bool {
         self.stage.repeatable || self.pool.checks != Checks::Nothing
     }
@@ -214,7 +217,7 @@
             match chosen {
                 Ok(it) => return Ok(it.address),
                 Err(NoTarget::Full) if 0 < self.job.remaining() => {
-                    tokio::time::sleep(FULL_PAUSE).await;
+                    tokio::time::sleep(BUSY_RETRY_INTERVAL).await;
                 }
                 Err(it) => return Err(it),
             }
@@ -224,7 +227,7 @@
     fn call<'b>(&self, tried: &'b [String]) -> Call<'b> {
         Call {
             work: self.units,
-            prefix_work: self.prompt_units * PREFIX_SAVES,
+            prefix_work: self.prompt_units * PREFIX_SAVING,
             prefix: self.prefix,
             tried,
             cap: self.pool.concurrency,
@@ -235,11 +238,11 @@
         }
     }
 
-    /// Counts the attempt in the request's ledger, where this stage counts; `None` where the
+    /// Records the attempt in the request's ledger if calls of this stage count; `None` if the
     /// ledger is closed.
     #[allow(clippy::option_option)]
     fn begin(&self) -> Option<Option<Begun<'a>>> {
-        if !self.job.counts(self.index) {
+        if !self.job.is_counted(self.index) {
             return Some(None);
         }
         self.job.ledger.begin().map(Some)
@@ -251,7 +254,7 @@
         attempt: u32,
         limit: Duration,
         sink: Option<&Sink>,
-    ) -> Attempted {
+    ) -> AttemptResult {
         let id = AttemptId {
             incarnation: self.job.shared.incarnation.clone(),
             call: self.job.call,
@@ -278,15 +281,16 @@
             inputs: &self.inputs,
             limit,
         };
-        let (result, signs) = self.job.shared.targets.call(&call).await;
-        Attempted { result: result.map_err(AttemptError::Call), signs }
+        let (result, info) = self.job.shared.targets.call(&call).await;
+        AttemptResult { result: result.map_err(AttemptError::Call), info }
     }
 
-    /// Takes in how an attempt ended; returns the engine milliseconds it cost.
-    fn ended(&self, address: &str, asked: Millis, attempted: &Attempted) -> u64 {
+    /// Records the end of an attempt in the router, metrics and control thread; returns its cost in
+    /// engine milliseconds.
+    fn record_end(&self, address: &str, sent_at: Millis, attempted: &AttemptResult) -> u64 {
         let shared = &self.job.shared;
         let now = shared.clock.now();
-        let took = now.saturating_sub(asked);
+        let took = now.saturating_sub(sent_at);
         let (end, name) = match attempted.result {
             Ok(_) => (End::Whole(took), "whole"),
             Err(AttemptError::Call(CallError::NotConnected)) => (End::Failed, "not-sent"),
@@ -301,26 +305,26 @@
         }
         let mut router = self.state.router.lock();
         router.ended(now, address, self.units, end);
-        if let Some(it) = &attempted.signs.load {
-            self.job.note_load(it);
+        if let Some(it) = &attempted.info.load {
+            self.job.record_load(it);
             let load = Load { running: it.running, waiting: it.waiting, pace_percent: None };
             router.report(now, address, load);
         }
-        if attempted.signs.leaving {
+        if attempted.info.is_draining {
             router.leave(address);
             drop(router);
-            let incarnation = attempted.signs.incarnation.clone().unwrap_or_default();
-            let sign = LeavingTarget { address: address.to_owned(), incarnation };
-            // A full channel loses this sign only; the target's next answer carries it again.
-            drop(shared.control.try_send(Input::TargetLeaving(sign)));
+            let incarnation = attempted.info.incarnation.clone().unwrap_or_default();
+            let notice = LeavingTarget { address: address.to_owned(), incarnation };
+            // A full channel drops this notice only; the target's next response repeats it.
+            drop(shared.control.try_send(Input::TargetLeaving(notice)));
         }
-        match attempted.signs.cost_ms {
+        match attempted.info.cost_ms {
             0 if attempted.result.is_err() => took,
             it => it,
         }
     }
 
-    fn done(&self, output: Value, address: &str, started: Millis, cost: u64) -> StageDone {
+    fn stage_done(&self, output: Value, address: &str, started: Millis, cost: u64) -> StageDone {
         let now = self.job.shared.clock.now();
         let ms = now.saturating_sub(started);
         self.state.times.lock().record(now, ms);
@@ -331,7 +335,8 @@
     }
 }
 
-/// Prompt of a generation: the input named `prompt` where it is a text, else all as JSON.
+/// Prompt of a generation: the input `prompt` if it is a string and the only input, else all inputs
+/// as JSON.
 pub(crate) fn prompt(inputs: &Map<String, Value>) -> String {
     match inputs.get("prompt") {
         Some(Value::String(it)) if inputs.len() == 1 => it.clone(),
@@ -339,7 +344,7 @@
     }
 }
 
-fn late_or(last: &Fault) -> Fault {
+fn last_or_late(last: &Fault) -> Fault {
     match last {
         Fault::Failed(_) => last.clone(),
         _ => Fault::Late,
