--- a/crates/holdpoint-core/tests/backoffs.rs
+++ b/crates/holdpoint-core/tests/backoffs.rs
@@ -1,6 +1,5 @@
-//! Targets that leave, or ask an instance to back off, in random worlds: answers come late and overtake each other,
-//! targets start again under their id, entries lapse and come back, instances start again and hear of each other's
-//! news late or not at all.
+//! Guards against requests sent to a target that has announced its drain or asked the sender to back off. Random
+//! simulations delay, reorder and lose messages, restart targets and instances, and remove directory entries.
 
 use std::collections::BTreeMap;
 
@@ -13,36 +12,36 @@
 use rand_chacha::ChaCha8Rng;
 
 const SERVICE: &str = "service";
-/// Longest time between the gate and the arrival, and between an answer and its arrival, in milliseconds.
-const WAY_MS: Millis = 100;
-/// How long after an answer requests may still arrive that were under way, in milliseconds.
-const UNDER_WAY_MS: Millis = 500;
+/// Upper bound of a message's delay, in milliseconds.
+const MAX_DELAY_MS: Millis = 100;
+/// Time after a backoff answer in which requests already in flight may still arrive, in milliseconds.
+const MAX_IN_FLIGHT_MS: Millis = 500;
 
 #[test]
-fn the_latest_end_of_a_back_off_holds() {
-    let its = ("t-1", SERVICE);
+fn the_latest_backoff_end_applies() {
+    let key = ("t-1", SERVICE);
     let mut backoffs = Backoffs::default();
-    assert_eq!(backoffs.request(1000, its, Some(1), 3000), Some(3000));
-    assert_eq!(backoffs.request(1500, its, Some(1), 1000), None, "a shorter one");
-    assert_eq!((backoffs.left(1500, its), backoffs.left(4000, its)), (2500, 0));
-    assert_eq!(backoffs.request(2000, its, Some(1), 3000), Some(3000));
-    assert_eq!(backoffs.left(2000, its), 3000);
-    assert_eq!(backoffs.request(2000, its, Some(1), 0), None);
+    assert_eq!(backoffs.request(1000, key, Some(1), 3000), Some(3000));
+    assert_eq!(backoffs.request(1500, key, Some(1), 1000), None, "a shorter backoff is ignored");
+    assert_eq!((backoffs.left(1500, key), backoffs.left(4000, key)), (2500, 0));
+    assert_eq!(backoffs.request(2000, key, Some(1), 3000), Some(3000));
+    assert_eq!(backoffs.left(2000, key), 3000);
+    assert_eq!(backoffs.request(2000, key, Some(1), 0), None);
     assert_eq!(
-        backoffs.request(2000, its, Some(1), Millis::MAX),
+        backoffs.request(2000, key, Some(1), Millis::MAX),
         Some(600_000),
-        "ten minutes at most"
+        "capped at ten minutes"
     );
     assert_eq!(backoffs.left(2000, ("t-2", SERVICE)), 0);
     backoffs.new_life("t-1", Some(1));
-    assert_ne!(backoffs.left(2000, its), 0, "its entry lapsed and is back");
+    assert_ne!(backoffs.left(2000, key), 0, "the same incarnation was listed again");
     backoffs.new_life("t-1", Some(2));
-    assert_eq!(backoffs.left(2000, its), 0, "its next life");
+    assert_eq!(backoffs.left(2000, key), 0, "the next incarnation starts without a backoff");
 }
 
-/// What is kept is bounded by the targets that still want a back-off, at any size.
+/// Memory is bounded by the number of targets with an active backoff.
 #[test]
-fn back_offs_that_are_over_are_forgotten() {
+fn expired_backoffs_are_removed() {
     for targets in [100, 1000, 2000, 20_000] {
         let mut backoffs = Backoffs::default();
         for target in 0..targets {
@@ -58,57 +57,57 @@
 }
 
 #[test]
-fn a_figure_that_cannot_be_read_is_told_once_for_each_of_a_few_targets() {
+fn an_invalid_backoff_is_logged_once_per_target_up_to_a_limit() {
     let mut backoffs = Backoffs::default();
-    let told = (0..1000).filter(|it| backoffs.note_invalid(&format!("t-{}", it % 500))).count();
-    assert_eq!(told, 64);
+    let logged = (0..1000).filter(|it| backoffs.note_invalid(&format!("t-{}", it % 500))).count();
+    assert_eq!(logged, 64);
 }
 
 enum Message {
-    /// A request passes the gate of an instance.
-    Arrive { from: usize, life: u32, to: TargetInstance, sent: Millis },
-    /// An answer, of the life that was sent to.
+    /// A request reaches a target.
+    Request { from: usize, incarnation: u32, to: TargetInstance, sent: Millis },
+    /// An answer of the target incarnation that received the request.
     Answer {
         to: usize,
-        life: u32,
+        incarnation: u32,
         target: TargetInstance,
-        is_leaving: bool,
+        is_draining: bool,
         backoff_ms: Option<Millis>,
     },
-    /// News between instances: a target as the teller lists it.
-    News { to: usize, entry: TargetInstance },
-    /// An entry of the store, perhaps an old one.
-    Entry { to: usize, entry: TargetInstance },
+    /// A directory entry sent by another instance.
+    DirectoryUpdate { to: usize, entry: TargetInstance },
+    /// A directory entry from the store, which may be outdated.
+    StoreEntry { to: usize, entry: TargetInstance },
 }
 
 struct Instance {
     directory: Directory,
     backoffs: Backoffs,
-    life: u32,
-    /// When it passed on an answer that said a life leaves.
-    told_leaving: BTreeMap<(String, Millis), Millis>,
-    /// When a life asked it to back off, and until when.
-    asked: Vec<(String, Millis, Millis, Millis)>,
+    incarnation: u32,
+    /// When the first drain notice of each target incarnation was processed.
+    drain_notices: BTreeMap<(String, Millis), Millis>,
+    /// Requested backoffs: target, its incarnation, time of the request, end of the backoff.
+    requested: Vec<(String, Millis, Millis, Millis)>,
 }
 
 struct Target {
     entry: TargetInstance,
-    is_leaving: bool,
-    sheds_until: Millis,
+    is_draining: bool,
+    shedding_until: Millis,
 }
 
-struct World {
+struct Simulation {
     now: Millis,
     rng: ChaCha8Rng,
     instances: Vec<Instance>,
     targets: Vec<Target>,
-    under_way: BTreeMap<(Millis, u64), Message>,
+    in_flight: BTreeMap<(Millis, u64), Message>,
     next: u64,
     arrived: u64,
 }
 
-impl World {
-    fn new(seed: u64, instances: usize, targets: usize) -> World {
+impl Simulation {
+    fn new(seed: u64, instances: usize, targets: usize) -> Simulation {
         let entry = |it: usize| TargetInstance {
             id: format!("t-{it}"),
             service: SERVICE.to_owned(),
@@ -122,7 +121,7 @@
             version: String::new(),
         };
         let targets: Vec<Target> = (0..targets)
-            .map(|it| Target { entry: entry(it), is_leaving: false, sheds_until: 0 })
+            .map(|it| Target { entry: entry(it), is_draining: false, shedding_until: 0 })
             .collect();
         let instance = |_| {
             let mut directory = Directory::default();
@@ -130,29 +129,29 @@
             Instance {
                 directory,
                 backoffs: Backoffs::default(),
-                life: 0,
-                told_leaving: BTreeMap::new(),
-                asked: Vec::new(),
+                incarnation: 0,
+                drain_notices: BTreeMap::new(),
+                requested: Vec::new(),
             }
         };
-        World {
+        Simulation {
             now: 1000,
             rng: ChaCha8Rng::seed_from_u64(seed),
             instances: (0..instances).map(instance).collect(),
             targets,
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next: 0,
             arrived: 0,
         }
     }
 
     fn post(&mut self, message: Message) {
-        let at = self.now + self.rng.random_range(1..WAY_MS);
+        let at = self.now + self.rng.random_range(1..MAX_DELAY_MS);
         self.next += 1;
-        self.under_way.insert((at, self.next), message);
+        self.in_flight.insert((at, self.next), message);
     }
 
-    /// A request is placed by any instance, which knows what it knows, and passes the gate of another one.
+    /// One instance chooses a target from its own directory, and another one checks the choice and sends the request.
     fn send(&mut self) {
         let count = self.instances.len();
         let (placer, sender) = (self.rng.random_range(0..count), self.rng.random_range(0..count));
@@ -167,70 +166,70 @@
         if instance.backoffs.left(self.now, (id, SERVICE)) != 0 {
             return;
         }
-        let (to, life) = (target.clone(), instance.life);
-        self.post(Message::Arrive { from: sender, life, to, sent: self.now });
+        let (to, incarnation) = (target.clone(), instance.incarnation);
+        self.post(Message::Request { from: sender, incarnation, to, sent: self.now });
     }
 
-    fn arrive(&mut self, from: usize, life: u32, to: TargetInstance, sent: Millis) {
+    fn arrive(&mut self, from: usize, incarnation: u32, to: TargetInstance, sent: Millis) {
         let Some(target) = self.targets.iter().find(|it| it.entry.id == to.id) else { return };
-        if target.entry.born != to.born || self.instances[from].life != life {
+        if target.entry.born != to.born || self.instances[from].incarnation != incarnation {
             return;
         }
         self.arrived += 1;
         let key = (to.id.clone(), to.born.unwrap());
-        if let Some(told) = self.instances[from].told_leaving.get(&key) {
-            assert!(sent <= *told, "instance {from} had passed on that {key:?} leaves");
+        if let Some(noticed) = self.instances[from].drain_notices.get(&key) {
+            assert!(sent <= *noticed, "instance {from} had processed the drain notice of {key:?}");
         }
-        for (id, born, asked, until) in &self.instances[from].asked {
-            let is_its = (id, *born) == (&key.0, key.1);
-            let in_time = (asked + UNDER_WAY_MS..*until).contains(&self.now);
-            assert!(!(is_its && in_time), "{id} had asked instance {from} to back off");
+        for (id, born, requested, until) in &self.instances[from].requested {
+            let is_same = (id, *born) == (&key.0, key.1);
+            let is_active = (requested + MAX_IN_FLIGHT_MS..*until).contains(&self.now);
+            assert!(!(is_same && is_active), "target {id} had asked instance {from} to back off");
         }
-        let sheds = self.now < target.sheds_until;
-        let is_leaving = target.is_leaving;
-        let backoff_ms = sheds.then(|| [200, 1000, 3000][self.rng.random_range(0..3)]);
+        let is_shedding = self.now < target.shedding_until;
+        let is_draining = target.is_draining;
+        let backoff_ms = is_shedding.then(|| [200, 1000, 3000][self.rng.random_range(0..3)]);
         if let Some(ms) = backoff_ms {
-            let asked = (key.0, key.1, self.now, self.now + ms);
-            self.instances[from].asked.push(asked);
+            let requested = (key.0, key.1, self.now, self.now + ms);
+            self.instances[from].requested.push(requested);
         }
-        self.post(Message::Answer { to: from, life, target: to, is_leaving, backoff_ms });
+        self.post(Message::Answer { to: from, incarnation, target: to, is_draining, backoff_ms });
     }
 
     fn answer(
         &mut self,
         to: usize,
-        life: u32,
+        incarnation: u32,
         target: TargetInstance,
-        is_leaving: bool,
+        is_draining: bool,
         backoff_ms: Option<Millis>,
     ) {
         let now = self.now;
         let instance = &mut self.instances[to];
-        if instance.life != life {
+        if instance.incarnation != incarnation {
             return;
         }
-        if is_leaving {
-            instance.told_leaving.entry((target.id.clone(), target.born.unwrap())).or_insert(now);
+        if is_draining {
+            instance.drain_notices.entry((target.id.clone(), target.born.unwrap())).or_insert(now);
         }
-        // As the gate does: an answer of a former life tells nothing.
+        // Answers of a former incarnation are ignored, as in the ingress.
         if instance.directory.is_former_life(&target.id, target.born) {
             return;
         }
         if let Some(ms) = backoff_ms {
             instance.backoffs.request(now, (&target.id, SERVICE), target.born, ms);
         }
-        if is_leaving {
+        if is_draining {
             instance.directory.leave(&target.id, target.born);
             let entry = TargetInstance { is_leaving: true, ..target };
             for to in 0..self.instances.len() {
                 if self.rng.random_bool(0.7) {
-                    self.post(Message::News { to, entry: entry.clone() });
+                    self.post(Message::DirectoryUpdate { to, entry: entry.clone() });
                 }
             }
         }
     }
 
-    fn take_entry(&mut self, to: usize, entry: TargetInstance) {
+    fn apply_entry(&mut self, to: usize, entry: TargetInstance) {
         let instance = &mut self.instances[to];
         let (id, born) = (entry.id.clone(), entry.born);
         if matches!(instance.directory.put(self.now, entry), Change::Joined | Change::Restarted) {
@@ -238,20 +237,20 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let (target, to) = (
             self.rng.random_range(0..self.targets.len()),
             self.rng.random_range(0..self.instances.len()),
         );
         match self.rng.random_range(0..8) {
-            0 => self.targets[target].is_leaving = true,
-            1 => self.targets[target].sheds_until = self.now + self.rng.random_range(50..2000),
+            0 => self.targets[target].is_draining = true,
+            1 => self.targets[target].shedding_until = self.now + self.rng.random_range(50..2000),
             2 => {
-                // It starts again under its id.
+                // The target restarts under the same id.
                 let target = &mut self.targets[target];
                 target.entry.born = target.entry.born.map(|it| it + 1);
                 target.entry.sequence = 1;
-                (target.is_leaving, target.sheds_until) = (false, 0);
+                (target.is_draining, target.shedding_until) = (false, 0);
             }
             3 => {
                 let id = self.targets[target].entry.id.clone();
@@ -264,14 +263,14 @@
                 *instance = Instance {
                     directory: Directory::default(),
                     backoffs: Backoffs::default(),
-                    life: instance.life + 1,
-                    told_leaving: BTreeMap::new(),
-                    asked: Vec::new(),
+                    incarnation: instance.incarnation + 1,
+                    drain_notices: BTreeMap::new(),
+                    requested: Vec::new(),
                 };
                 instance.directory.replace(self.now, entries);
             }
             _ => {
-                // The entry says ready; it may be an older one, and comes late.
+                // The entry lists the target as not draining, may be outdated and arrives late.
                 let target = &mut self.targets[target];
                 target.entry.sequence += 1;
                 let back = self.rng.random_range(0..3).min(target.entry.sequence - 1);
@@ -279,7 +278,7 @@
                     sequence: target.entry.sequence - back,
                     ..target.entry.clone()
                 };
-                self.post(Message::Entry { to, entry });
+                self.post(Message::StoreEntry { to, entry });
             }
         }
     }
@@ -288,35 +287,41 @@
         let end = self.now + length;
         while self.now < end {
             self.now += 5;
-            while let Some(first) = self.under_way.first_entry().filter(|it| it.key().0 <= self.now)
+            while let Some(first) = self.in_flight.first_entry().filter(|it| it.key().0 <= self.now)
             {
                 match first.remove() {
-                    Message::Arrive { from, life, to, sent } => self.arrive(from, life, to, sent),
-                    Message::Answer { to, life, target, is_leaving, backoff_ms } => {
-                        self.answer(to, life, target, is_leaving, backoff_ms);
+                    Message::Request { from, incarnation, to, sent } => {
+                        self.arrive(from, incarnation, to, sent);
                     }
-                    Message::News { to, entry } | Message::Entry { to, entry } => {
-                        self.take_entry(to, entry);
+                    Message::Answer { to, incarnation, target, is_draining, backoff_ms } => {
+                        self.answer(to, incarnation, target, is_draining, backoff_ms);
+                    }
+                    Message::DirectoryUpdate { to, entry } | Message::StoreEntry { to, entry } => {
+                        self.apply_entry(to, entry);
                     }
                 }
             }
             self.send();
             if self.rng.random_bool(0.1) {
-                self.trouble();
+                self.inject_fault();
             }
         }
     }
 }
 
 #[test]
-fn what_targets_say_holds_in_random_worlds() {
+fn drain_notices_and_backoffs_are_respected_in_random_simulations() {
     for seed in 0..200 {
-        let mut world = World::new(seed, 8, 4);
-        world.run(10_000);
-        assert!(100 < world.arrived, "seed {seed}: {} arrived", world.arrived);
+        let mut simulation = Simulation::new(seed, 8, 4);
+        simulation.run(10_000);
+        assert!(
+            100 < simulation.arrived,
+            "seed {seed}: only {} requests arrived",
+            simulation.arrived
+        );
     }
     for seed in 0..4 {
-        let mut world = World::new(seed, 985, 40);
-        world.run(10_000);
+        let mut simulation = Simulation::new(seed, 985, 40);
+        simulation.run(10_000);
     }
 }
