--- a/crates/holdpoint-core/tests/chain.rs
+++ b/crates/holdpoint-core/tests/chain.rs
@@ -1,92 +1,104 @@
-//! Replays of surges on requests with three stages, in virtual time: who is admitted, and what becomes of
-//! those who are.
+//! Surges of requests with three stages, simulated in virtual time. Guards against admitting more requests than the
+//! later stages can serve in time.
 
 mod support;
 
-use support::chain::{Load, Outcome, Way, play};
+use support::chain::{AdmissionMode, Load, Outcome, simulate};
 
-/// As many requests a second as the second stage carries, with a little room.
-const CALM: f64 = 210.0;
+/// Requests per second that the second stage serves with a little headroom.
+const CALM_PER_S: f64 = 210.0;
 
 fn load() -> Load {
-    Load { seed: 0, per_s: Vec::new(), gone: None, late_worth: 0.15 }
+    Load { seed: 0, per_s: Vec::new(), outage: None, late_value: 0.15 }
 }
 
 fn burst(seed: u64) -> Load {
-    Load { seed, per_s: vec![(0, CALM), (4_000, 2.4 * CALM), (10_000, CALM)], ..load() }
+    Load {
+        seed,
+        per_s: vec![(0, CALM_PER_S), (4_000, 2.4 * CALM_PER_S), (10_000, CALM_PER_S)],
+        ..load()
+    }
 }
 
-fn a_third_gone(seed: u64) -> Load {
-    let per_s = vec![(0, 1.9 * CALM)];
-    Load { seed, per_s, gone: Some((4_000, 10_000)), ..load() }
+fn third_of_targets_lost(seed: u64) -> Load {
+    let per_s = vec![(0, 1.9 * CALM_PER_S)];
+    Load { seed, per_s, outage: Some((4_000, 10_000)), ..load() }
 }
 
-/// Batchers start from nothing while requests come at full rate.
-fn all_back(seed: u64) -> Load {
-    let per_s = vec![(0, 2.6 * CALM), (3_000, CALM)];
+/// Batchers start without state while requests arrive at full rate.
+fn batchers_restarted(seed: u64) -> Load {
+    let per_s = vec![(0, 2.6 * CALM_PER_S), (3_000, CALM_PER_S)];
     Load { seed, per_s, ..load() }
 }
 
-fn sum(load: fn(u64) -> Load, way: Way) -> Outcome {
-    (1..=3).map(|seed| play(&load(seed), way)).sum()
+fn simulate_seeds(load: fn(u64) -> Load, mode: AdmissionMode) -> Outcome {
+    (1..=3).map(|seed| simulate(&load(seed), mode)).sum()
 }
 
 #[test]
-fn in_calm_nobody_is_refused_or_late() {
-    let calm = Load { seed: 1, per_s: vec![(0, CALM)], ..load() };
-    let outcome = play(&calm, Way::Chain);
+fn without_a_surge_no_request_is_refused_or_late() {
+    let calm = Load { seed: 1, per_s: vec![(0, CALM_PER_S)], ..load() };
+    let outcome = simulate(&calm, AdmissionMode::AllStages);
     assert_eq!((outcome.refused, outcome.late), (0, 0), "{outcome:?}");
 }
 
-/// The first stage has a short queue while 3,000 pieces wait at the second one.
+/// Guards against admission by the short queue of the first stage while the second one has a long backlog.
 #[test]
-fn a_burst_costs_what_capacity_lacks_and_no_more() {
-    let chain = sum(burst, Way::Chain);
-    let first_stage = sum(burst, Way::FirstStage);
-    eprintln!("burst: {chain:?}\nfirst stage alone: {first_stage:?}");
-    assert!(chain.late * 20 <= chain.asked(), "one of twenty is late at most: {chain:?}");
-    assert!(first_stage.in_time < chain.in_time, "{first_stage:?}");
+fn a_burst_makes_few_requests_late() {
+    let all_stages = simulate_seeds(burst, AdmissionMode::AllStages);
+    let first_stage = simulate_seeds(burst, AdmissionMode::FirstStage);
+    eprintln!("burst: {all_stages:?}\nfirst stage alone: {first_stage:?}");
+    assert!(
+        all_stages.late * 20 <= all_stages.total(),
+        "more than 5 % of the requests were late: {all_stages:?}"
+    );
+    assert!(first_stage.in_time < all_stages.in_time, "{first_stage:?}");
 }
 
 #[test]
-fn a_third_of_the_targets_gone_costs_what_capacity_lacks_and_no_more() {
-    let chain = sum(a_third_gone, Way::Chain);
-    let first_stage = sum(a_third_gone, Way::FirstStage);
-    eprintln!("a third gone: {chain:?}\nfirst stage alone: {first_stage:?}");
-    assert!(chain.late * 20 <= chain.asked(), "{chain:?}");
-    assert!(first_stage.in_time <= chain.in_time, "{first_stage:?}");
+fn losing_a_third_of_the_targets_makes_few_requests_late() {
+    let all_stages = simulate_seeds(third_of_targets_lost, AdmissionMode::AllStages);
+    let first_stage = simulate_seeds(third_of_targets_lost, AdmissionMode::FirstStage);
+    eprintln!("a third of the targets lost: {all_stages:?}\nfirst stage alone: {first_stage:?}");
+    assert!(all_stages.late * 20 <= all_stages.total(), "{all_stages:?}");
+    assert!(first_stage.in_time <= all_stages.in_time, "{first_stage:?}");
 }
 
 #[test]
-fn all_batchers_back_at_once_admit_what_they_carry() {
-    let chain = sum(all_back, Way::Chain);
-    let first_stage = sum(all_back, Way::FirstStage);
-    eprintln!("all back: {chain:?}\nfirst stage alone: {first_stage:?}");
-    assert!(chain.late * 20 <= chain.asked(), "{chain:?}");
-    assert!(first_stage.in_time <= chain.in_time, "{first_stage:?}");
+fn restarted_batchers_under_full_load_make_few_requests_late() {
+    let all_stages = simulate_seeds(batchers_restarted, AdmissionMode::AllStages);
+    let first_stage = simulate_seeds(batchers_restarted, AdmissionMode::FirstStage);
+    eprintln!("batchers restarted: {all_stages:?}\nfirst stage alone: {first_stage:?}");
+    assert!(all_stages.late * 20 <= all_stages.total(), "{all_stages:?}");
+    assert!(first_stage.in_time <= all_stages.in_time, "{first_stage:?}");
 }
 
-/// The other way that was weighed: batchers hand credits for pieces ahead.
+/// Compares with an alternative in which batchers grant credits for items in advance.
 #[test]
-fn an_account_serves_no_less_than_credits_handed_ahead() {
-    for load in [burst, a_third_gone, all_back] {
-        let (chain, credits) = (sum(load, Way::Chain), sum(load, Way::Credits));
-        eprintln!("account {chain:?}\ncredits {credits:?}");
-        assert!(credits.worth() <= chain.worth(), "{credits:?} {chain:?}");
+fn tracking_admitted_work_serves_no_less_than_granting_credits() {
+    for load in [burst, third_of_targets_lost, batchers_restarted] {
+        let (all_stages, credits) = (
+            simulate_seeds(load, AdmissionMode::AllStages),
+            simulate_seeds(load, AdmissionMode::Credits),
+        );
+        eprintln!("all stages: {all_stages:?}\ncredits: {credits:?}");
+        assert!(credits.value() <= all_stages.value(), "{credits:?} {all_stages:?}");
     }
 }
 
-/// The same burst under two objectives: late answers are worth much, or little.
+/// The same burst, with a high, a low and no value of late answers.
 #[test]
-fn what_late_answers_are_worth_decides_how_many_are_refused() {
-    let of_worth = |late_worth| -> Outcome {
-        (1..=3).map(|seed| play(&Load { late_worth, ..burst(seed) }, Way::Chain)).sum()
+fn the_value_of_late_answers_decides_how_many_requests_are_refused() {
+    let with_value = |late_value| -> Outcome {
+        (1..=3)
+            .map(|seed| simulate(&Load { late_value, ..burst(seed) }, AdmissionMode::AllStages))
+            .sum()
     };
-    let (much, little, none) = (of_worth(0.5), of_worth(0.15), of_worth(0.0));
-    eprintln!("worth 0.5: {much:?}\nworth 0.15: {little:?}\nworthless: {none:?}");
-    assert!(much.refused < little.refused && little.late < much.late, "{much:?} {little:?}");
-    assert!(little.refused <= none.refused && none.late <= little.late, "{little:?} {none:?}");
-    for outcome in [much, little, none] {
-        assert!(9 * outcome.asked() < 10 * outcome.in_time, "{outcome:?}");
+    let (high, low, none) = (with_value(0.5), with_value(0.15), with_value(0.0));
+    eprintln!("value 0.5: {high:?}\nvalue 0.15: {low:?}\nvalue 0: {none:?}");
+    assert!(high.refused < low.refused && low.late < high.late, "{high:?} {low:?}");
+    assert!(low.refused <= none.refused && none.late <= low.late, "{low:?} {none:?}");
+    for outcome in [high, low, none] {
+        assert!(9 * outcome.total() < 10 * outcome.in_time, "{outcome:?}");
     }
 }
--- a/crates/holdpoint-core/tests/support/mod.rs
+++ b/crates/holdpoint-core/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What several tests share.
+//! Code shared by integration tests.
 
 pub(crate) mod chain;
