--- a/crates/holdpoint-core/tests/fold.rs
+++ b/crates/holdpoint-core/tests/fold.rs
@@ -1,4 +1,5 @@
-//! The fold against a plain model, for any order of racing writers.
+//! Guards against control state that differs from a plain model for some order of concurrent writers, against
+//! snapshots that restore another state, and against two holders of one lease.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -10,21 +11,23 @@
 use proptest::prelude::*;
 use serde_json::{Map, json};
 
-/// A change as a test draws it: writer, resource, how stale its base is, and whether its answer
-/// is lost so that the same record is appended again.
+/// A generated change to a resource.
 #[derive(Clone, Debug)]
-struct Draw {
+struct DrawnChange {
     writer: u8,
     name: u8,
+    /// Number of versions by which its base is outdated.
     staleness: u8,
     is_deletion: bool,
+    /// Whether the same record is appended again, as after a lost answer.
     is_repeated: bool,
+    /// Whether the operator sends the change again by its id through another instance.
     is_resubmitted: bool,
 }
 
-fn draws() -> impl Strategy<Value = Vec<Draw>> {
+fn draws() -> impl Strategy<Value = Vec<DrawnChange>> {
     let one = (0..3u8, 0..3u8, 0..3u8, any::<bool>(), any::<bool>(), any::<bool>()).prop_map(
-        |(writer, name, staleness, is_deletion, is_repeated, is_resubmitted)| Draw {
+        |(writer, name, staleness, is_deletion, is_repeated, is_resubmitted)| DrawnChange {
             writer,
             name,
             staleness,
@@ -40,13 +43,13 @@
     Record { writer: format!("w{writer}"), seq, at: 0, body: Body::Change(change) }
 }
 
-/// Records that the drawn changes make, with what a plain model says of each.
-fn history(draws: &[Draw]) -> (Vec<Record>, BTreeMap<String, u64>) {
+/// Records of the generated changes, and the versions of the resources by a plain model.
+fn history(draws: &[DrawnChange]) -> (Vec<Record>, BTreeMap<String, u64>) {
     let mut records = Vec::new();
     let mut seqs = [0_u64; 4];
     let mut versions: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     let mut model: BTreeMap<String, u64> = BTreeMap::new();
-    let mut counted: HashSet<String> = HashSet::new();
+    let mut seen: HashSet<String> = HashSet::new();
     for (index, draw) in draws.iter().enumerate() {
         let name = format!("n{}", draw.name);
         let known = versions.entry(name.clone()).or_insert_with(|| vec![0]);
@@ -69,7 +72,7 @@
         records.push(first.clone());
         let offset = records.len() as u64;
         let current = model.get(&name).copied().unwrap_or(0);
-        if counted.insert(change.change.clone()) && base == current {
+        if seen.insert(change.change.clone()) && base == current {
             if draw.is_deletion {
                 model.remove(&name);
             } else {
@@ -81,7 +84,6 @@
         if draw.is_repeated {
             records.push(first);
         }
-        // The operator repeats the change by its id, at another instance.
         if draw.is_resubmitted {
             seqs[3] += 1;
             records.push(record(3, seqs[3], change));
@@ -114,11 +116,11 @@
     fn a_snapshot_of_any_prefix_leads_to_the_same_state(draws in draws(), cut in 0.0..1.0_f64) {
         let (records, _) = history(&draws);
         let whole = folded(&records);
-        let n = (records.len() as f64 * cut) as usize;
-        let taken = snapshot::take(&folded(&records[..n]), 64);
-        let mut state = snapshot::restore(taken.iter().rev().chain(&taken)).unwrap();
+        let length = (records.len() as f64 * cut) as usize;
+        let parts = snapshot::take(&folded(&records[..length]), 64);
+        let mut state = snapshot::restore(parts.iter().rev().chain(&parts)).unwrap();
         for (index, record) in records.iter().enumerate() {
-            // Records that the snapshot covers are read again and must change nothing.
+            // Records that the snapshot covers must have no effect when applied again.
             let before = state.offset();
             let effect = state.apply(index as u64 + 1, index as u64, record);
             if (index as u64) < before {
@@ -143,7 +145,7 @@
     }
 }
 
-fn bid(writer: &str, seq: u64, length_ms: u64) -> Record {
+fn lease_record(writer: &str, seq: u64, length_ms: u64) -> Record {
     let lease = Lease { lease: "placement".into(), holder: writer.into(), length_ms };
     Record { writer: writer.into(), seq, at: 0, body: Body::Lease(lease) }
 }
@@ -151,20 +153,28 @@
 #[test]
 fn a_lease_has_one_holder_at_a_time_and_a_higher_token_for_each_new_one() {
     let mut state = State::default();
-    assert_eq!(state.apply(1, 1000, &bid("a", 1, 500)), Effect::Leased);
-    assert_eq!(state.apply(2, 1100, &bid("b", 1, 500)), Effect::LeaseHeld);
-    assert_eq!(state.apply(3, 1200, &bid("a", 2, 500)), Effect::Leased, "a renewal");
+    assert_eq!(state.apply(1, 1000, &lease_record("a", 1, 500)), Effect::Leased);
+    assert_eq!(state.apply(2, 1100, &lease_record("b", 1, 500)), Effect::LeaseHeld);
+    assert_eq!(state.apply(3, 1200, &lease_record("a", 2, 500)), Effect::Leased, "a renewal");
     assert_eq!(state.grant("placement").unwrap().token, 1, "a renewal keeps the token");
-    assert_eq!(state.apply(4, 1699, &bid("b", 2, 500)), Effect::LeaseHeld);
-    assert_eq!(state.apply(5, 1700, &bid("b", 3, 500)), Effect::Leased, "lapsed at 1,700");
+    assert_eq!(state.apply(4, 1699, &lease_record("b", 2, 500)), Effect::LeaseHeld);
+    assert_eq!(
+        state.apply(5, 1700, &lease_record("b", 3, 500)),
+        Effect::Leased,
+        "the lease expired at 1,700 ms"
+    );
     assert_eq!(state.grant("placement").unwrap().token, 5);
-    assert_eq!(state.apply(6, 1800, &bid("a", 3, 500)), Effect::LeaseHeld, "back too late");
+    assert_eq!(
+        state.apply(6, 1800, &lease_record("a", 3, 500)),
+        Effect::LeaseHeld,
+        "another holder has the lease"
+    );
 }
 
 #[test]
 fn a_snapshot_that_was_tampered_with_is_rejected() {
     let mut state = State::default();
-    state.apply(1, 0, &bid("a", 1, 10));
+    state.apply(1, 0, &lease_record("a", 1, 10));
     let parts = snapshot::take(&state, 16);
     assert!(1 < parts.len());
     assert_eq!(snapshot::restore(&parts[1..]), Err(BadSnapshot::Parts));
@@ -179,12 +189,12 @@
 }
 
 #[test]
-fn one_writer_tries_a_snapshot_first_and_others_follow_if_it_does_not() {
+fn writers_try_a_snapshot_one_after_the_other_by_rank() {
     let is_due = |age, rank| snapshot::is_due(10, age, 1600, rank);
     assert!(!is_due(399, 0));
     assert!(is_due(400, 0));
     assert!(!is_due(400, 1));
     assert!(is_due(500, 1));
-    assert!(is_due(400 + 700, 100), "all have tried well before retention ends");
-    assert!(!snapshot::is_due(0, 10_000, 1600, 0), "nothing new to keep");
+    assert!(is_due(400 + 700, 100), "all have tried before retention ends");
+    assert!(!snapshot::is_due(0, 10_000, 1600, 0), "no records since the last snapshot");
 }
