--- a/crates/holdpoint-core/tests/cold.rs
+++ b/crates/holdpoint-core/tests/cold.rs
@@ -1,5 +1,4 @@
-//! What cold targets get, from one instance that decides for all and from many that decide for
-//! themselves.
+//! Guards against overload of cold targets, by one instance that routes for all or by many that route independently.
 
 use holdpoint_core::{
     cold::{Credits, Share},
@@ -12,7 +11,8 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const PER_S: f64 = 6.7;
+/// Calls per second that a cold target can take.
+const COLD_RATE_PER_S: f64 = 6.7;
 
 fn policy() -> Policy {
     Policy {
@@ -36,7 +36,7 @@
         held: false,
     };
     router.set_members(&(0..targets).map(member).collect::<Vec<_>>());
-    router.set_cold_rate(PER_S);
+    router.set_cold_rate(COLD_RATE_PER_S);
     router
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Has a router choose, and counts the call.
+/// Chooses a target, and spends its credit if it is cold.
 fn choose(
     router: &mut Router,
     now: Millis,
@@ -66,8 +66,8 @@
     Ok(chosen)
 }
 
-/// The most of some times that lie within one second.
-fn most_in_a_second(times: &[Millis]) -> usize {
+/// Maximum number of times within any second.
+fn max_in_a_second(times: &[Millis]) -> usize {
     let within =
         |from: &Millis| times.iter().filter(|it| (*from..*from + 1000).contains(it)).count();
     times.iter().map(within).max().unwrap_or(0)
@@ -75,85 +75,85 @@
 
 proptest! {
     #[test]
-    fn one_that_decides_for_all_stays_under_the_rate(
+    fn a_sole_router_stays_within_the_cold_rate(
         gaps in prop::collection::vec(0..400_u64, 1..300),
-        filled in 0.0..1.0,
+        fill in 0.0..1.0,
     ) {
         let mut credits = Credits::default();
-        credits.set_cold(0, 20_000, filled);
-        let (mut now, mut taken) = (0, Vec::new());
+        credits.set_cold(0, 20_000, fill);
+        let (mut now, mut times) = (0, Vec::new());
         for gap in gaps {
             now += gap;
-            if credits.is_cold(now) && credits.wait_ms(now, PER_S, Share::Whole) == 0 {
-                credits.spend(now, PER_S, Share::Whole);
-                taken.push(now);
+            if credits.is_cold(now) && credits.wait_ms(now, COLD_RATE_PER_S, Share::Whole) == 0 {
+                credits.spend(now, COLD_RATE_PER_S, Share::Whole);
+                times.push(now);
             }
         }
-        prop_assert!(most_in_a_second(&taken) as f64 <= PER_S, "{taken:?}");
+        prop_assert!(max_in_a_second(&times) as f64 <= COLD_RATE_PER_S, "{times:?}");
     }
 
     #[test]
-    fn after_the_wait_that_is_told_there_is_a_credit(at in 0..900_u64, filled in 0.0..1.0) {
+    fn a_credit_is_available_after_the_returned_wait(at in 0..900_u64, fill in 0.0..1.0) {
         let mut credits = Credits::default();
-        credits.set_cold(0, 100_000, filled);
-        credits.spend(at, PER_S, Share::Of(3));
-        let wait = credits.wait_ms(at, PER_S, Share::Of(3));
+        credits.set_cold(0, 100_000, fill);
+        credits.spend(at, COLD_RATE_PER_S, Share::Of(3));
+        let wait = credits.wait_ms(at, COLD_RATE_PER_S, Share::Of(3));
         prop_assert!(0 < wait);
-        prop_assert_eq!(credits.wait_ms(at + wait, PER_S, Share::Of(3)), 0);
+        prop_assert_eq!(credits.wait_ms(at + wait, COLD_RATE_PER_S, Share::Of(3)), 0);
     }
 }
 
-/// Half of the targets come back cold under 20 times what they carry, sent by 86 instances. The rule
-/// allows 15.05 requests a second for a cold target that carries 6.7.
+/// Guards against overload of cold targets by many instances that each use their own share of the cold rate.
 #[test]
-fn instances_that_decide_for_themselves_stay_under_the_bound_together() {
+fn independent_instances_together_stay_within_the_bound() {
     const INSTANCES: usize = 86;
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut routers: Vec<Router> = (0..INSTANCES).map(|it| router(&format!("i{it}"), 4)).collect();
     for router in &mut routers {
         ["t0", "t2"].iter().for_each(|it| router.set_cold(0, it, 30_000));
     }
-    let mut taken = Vec::new();
+    let mut times = Vec::new();
     for now in 0..30_000 {
         let instance = rng.random_range(0..INSTANCES);
         let share = Share::Of(INSTANCES);
-        let chosen = choose(&mut routers[instance], now, share, &mut rng).expect("two are warm");
+        let chosen =
+            choose(&mut routers[instance], now, share, &mut rng).expect("two targets are warm");
         if chosen == "t0" {
-            taken.push(now);
+            times.push(now);
         }
     }
-    let most = most_in_a_second(&taken);
-    assert!((2..=10).contains(&most), "{most} in a second");
-    assert!(30 <= taken.len(), "{} calls in 30 s", taken.len());
+    let most = max_in_a_second(&times);
+    assert!((2..=10).contains(&most), "{most} calls in one second");
+    assert!(30 <= times.len(), "{} calls in 30 s", times.len());
 }
 
 #[test]
-fn what_cold_targets_do_not_carry_goes_to_warm_ones_or_waits() {
+fn calls_beyond_the_cold_rate_go_to_warm_targets_or_wait() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut router = router("i", 2);
     router.set_cold(0, "t0", 5000);
     let mut chosen = |now| choose(&mut router, now, Share::Whole, &mut rng);
-    let first: Vec<String> = (0..20).map(|_| chosen(100).expect("one is warm")).collect();
+    let first: Vec<String> = (0..20).map(|_| chosen(100).expect("one target is warm")).collect();
     assert!(first.iter().filter(|it| *it == "t0").count() <= 1);
     let mut router = self::router("i", 1);
     router.set_cold(0, "t0", 5000);
     let mut chosen = |now| choose(&mut router, now, Share::Whole, &mut rng);
     assert!(chosen(1000).is_ok());
-    let Err(NoTarget::Cold(wait)) = chosen(1000) else { panic!("it carries no more") };
+    let Err(NoTarget::Cold(wait)) = chosen(1000) else { panic!("the cold rate is used up") };
     assert!(chosen(1000 + wait).is_ok());
-    assert!((0..20).all(|_| chosen(5000).is_ok()), "it is cold no more");
+    assert!((0..20).all(|_| chosen(5000).is_ok()), "the target is no longer cold");
 }
 
 #[test]
-fn a_target_that_is_held_back_gets_nothing_and_keeps_what_was_learned_of_it() {
+fn an_evacuated_target_gets_no_calls_and_keeps_its_prefixes() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut router = router("i", 2);
-    let members = |is_held| {
+    let members = |is_evacuated| {
         let member = |it: usize| Member {
             address: format!("t{it}"),
             domain: format!("d{it}"),
             leaving: false,
-            held: is_held && it == 0,
+            held: is_evacuated && it == 0,
         };
         (0..2).map(member).collect::<Vec<_>>()
     };
@@ -192,22 +192,30 @@
 }
 
 #[test]
-fn the_newest_word_of_a_target_says_how_long_it_is_cold() {
+fn the_newest_entry_of_a_target_says_how_long_it_is_cold() {
     let mut directory = Directory::default();
     directory.put(0, entry(2, Some(3000)));
     assert_eq!(directory.cold_left(1000, "i"), 2000);
-    assert_eq!(directory.put(1200, entry(3, Some(1800))), Change::Nothing, "it cools as expected");
-    assert_eq!(directory.put(2000, entry(1, Some(9000))), Change::Nothing, "an older word");
+    assert_eq!(
+        directory.put(1200, entry(3, Some(1800))),
+        Change::Nothing,
+        "the remaining time agrees"
+    );
+    assert_eq!(directory.put(2000, entry(1, Some(9000))), Change::Nothing, "an older entry");
     assert_eq!(directory.cold_left(3000, "i"), 0);
     assert_eq!(directory.put(4000, entry(4, Some(3000))), Change::Altered, "cold again");
-    assert_eq!(directory.put(4100, entry(5, Some(0))), Change::Altered, "warm before its time");
+    assert_eq!(
+        directory.put(4100, entry(5, Some(0))),
+        Change::Altered,
+        "warm earlier than reported before"
+    );
     assert_eq!(directory.cold_left(4100, "i"), 0);
     directory.put(5000, entry(6, Some(u64::MAX)));
-    assert_eq!(directory.cold_left(5000, "i"), 60_000, "an absurd word is bounded");
+    assert_eq!(directory.cold_left(5000, "i"), 60_000, "an implausible time is capped");
 }
 
 #[test]
-fn an_entry_that_may_be_older_does_not_end_a_cold_time_that_was_seen() {
+fn a_possibly_outdated_entry_does_not_end_a_cold_time_set_locally() {
     let mut directory = Directory::default();
     directory.put(0, entry(1, Some(0)));
     directory.hold_cold(1000, "i", 3000);
--- a/crates/holdpoint-core/tests/confinement.rs
+++ b/crates/holdpoint-core/tests/confinement.rs
@@ -1,5 +1,5 @@
-//! Confinement to regions: whatever the topology, nothing is placed, batched or handed to an instance
-//! outside the regions that both the route and the organisation allow.
+//! Guards against work that is routed, batched or handed to an instance outside the regions that both its route and
+//! its organisation allow, for any topology.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
 const SIZES: Sizes =
     Sizes { calls: 2, pieces: 4, call_ms: 100.0, piece_ms: 1.0, room_bytes: 0, keep_ms: 1000 };
 
-/// Domains `d0` to `d5`; one without an entry has no region.
+/// Domains `d0` to `d5`; a domain without an entry has no region.
 fn topology() -> impl Strategy<Value = Topology> {
     let regions = prop::collection::vec(prop::option::of(0..REGIONS.len()), 6);
     (0..3_usize, regions).prop_map(|(own, regions)| {
@@ -94,13 +94,13 @@
             prop_assert_eq!(allows(&both, &topology, &domain), expected);
             let is_unknown = topology.region_of(&domain).is_none_or(str::is_empty);
             if is_unknown && !both.is_free() {
-                prop_assert!(!allows(&both, &topology, &domain), "unknown is outside");
+                prop_assert!(!allows(&both, &topology, &domain), "its region is unknown");
             }
         }
     }
 
     #[test]
-    fn no_call_is_routed_outside_and_none_is_refused_that_has_a_target(
+    fn calls_stay_in_allowed_regions_and_are_refused_only_without_a_target(
         topology in topology(), confinement in confinement(), seed in any::<u64>(),
         places in prop::collection::vec((0..7_usize, any::<bool>(), any::<bool>()), 1..12),
         route in prop::sample::select(vec![
@@ -108,11 +108,11 @@
             Route::Predicted, Route::Affinity,
         ]),
     ) {
-        let members: Vec<Member> = places.iter().enumerate().map(|(at, (domain, leaving, held))| Member {
+        let members: Vec<Member> = places.iter().enumerate().map(|(at, (domain, is_draining, is_evacuated))| Member {
             address: format!("t{at}"),
             domain: format!("d{domain}"),
-            leaving: *leaving,
-            held: *held,
+            leaving: *is_draining,
+            held: *is_evacuated,
         }).collect();
         let policy = policy(route);
         let mut router = Router::new("i", "d0", policy.clone());
@@ -132,7 +132,7 @@
                     tried.push(it.address);
                 }
                 Err(it) => {
-                    prop_assert_eq!(tried.len(), open.len(), "all that are open were tried");
+                    prop_assert_eq!(tried.len(), open.len(), "all open targets were tried");
                     prop_assert_eq!(it == NoTarget::Tried, !open.is_empty());
                     break;
                 }
@@ -141,29 +141,29 @@
     }
 
     #[test]
-    fn no_piece_is_made_outside_and_all_are_made_that_have_a_target(
+    fn items_stay_in_allowed_regions_and_all_with_a_target_are_processed(
         topology in topology(),
         places in prop::collection::vec((0..7_usize, any::<bool>(), any::<bool>()), 1..8),
-        pieces in prop::collection::vec((confinement(), 0..7_usize, any::<bool>()), 1..40),
+        items in prop::collection::vec((confinement(), 0..7_usize, any::<bool>()), 1..40),
     ) {
         let mut batcher = Batcher::new(SIZES);
         let targets: Vec<(String, String, bool)> = places.iter().enumerate()
-            .map(|(at, (domain, is_leaving, _))| (format!("t{at}"), format!("d{domain}"), *is_leaving))
+            .map(|(at, (domain, is_draining, _))| (format!("t{at}"), format!("d{domain}"), *is_draining))
             .collect();
         batcher.set_targets(targets.iter().map(|it| (it.0.as_str(), it.1.as_str(), it.2)));
-        let is_spare = |at: usize| places[at].1 && places[at].2;
-        let spare = || (0..places.len()).filter(|it| is_spare(*it));
-        batcher.set_spare(spare().map(|it| targets[it].0.as_str()));
-        let has_staying = |it: &Confinement| {
-            targets.iter().any(|(_, domain, is_leaving)| !is_leaving && allows(it, &topology, domain))
+        let is_fallback = |at: usize| places[at].1 && places[at].2;
+        let fallbacks = || (0..places.len()).filter(|it| is_fallback(*it));
+        batcher.set_spare(fallbacks().map(|it| targets[it].0.as_str()));
+        let has_open = |it: &Confinement| {
+            targets.iter().any(|(_, domain, is_draining)| !is_draining && allows(it, &topology, domain))
         };
-        let has_spare = |it: &Confinement| {
-            !it.is_free() && spare().any(|at| allows(it, &topology, &targets[at].1))
+        let has_fallback = |it: &Confinement| {
+            !it.is_free() && fallbacks().any(|at| allows(it, &topology, &targets[at].1))
         };
-        let can = |it: &Confinement| has_staying(it) || has_spare(it);
-        for (ticket, (confinement, domain, is_large)) in pieces.iter().enumerate() {
+        let can_process = |it: &Confinement| has_open(it) || has_fallback(it);
+        for (ticket, (confinement, domain, is_large)) in items.iter().enumerate() {
             let within = confinement.bounds(&topology);
-            prop_assert_eq!(batcher.can_make(within.as_deref()), can(confinement));
+            prop_assert_eq!(batcher.can_make(within.as_deref()), can_process(confinement));
             batcher.offer(1000, Waiting {
                 ticket: ticket as u64,
                 group: ticket as u64,
@@ -176,20 +176,23 @@
                 ..Waiting::default()
             });
         }
-        let stranded = batcher.take_stranded();
-        for ticket in &stranded {
-            let confinement = &pieces[*ticket as usize].0;
-            prop_assert!(!confinement.is_free() && !can(confinement));
+        let unplaceable = batcher.take_stranded();
+        for ticket in &unplaceable {
+            let confinement = &items[*ticket as usize].0;
+            prop_assert!(!confinement.is_free() && !can_process(confinement));
         }
         let mut now = 1000;
         for _ in 0..200 {
             while let Some(call) = batcher.next(now) {
                 let at = targets.iter().position(|it| it.0 == call.target).unwrap();
-                for piece in &call.pieces {
-                    let confinement = &pieces[piece.ticket as usize].0;
+                for item in &call.pieces {
+                    let confinement = &items[item.ticket as usize].0;
                     prop_assert!(allows(confinement, &topology, &targets[at].1));
-                    prop_assert!(!targets[at].2 || is_spare(at), "a leaving target gets no call");
-                    prop_assert!(!is_spare(at) || !has_staying(confinement));
+                    prop_assert!(
+                        !targets[at].2 || is_fallback(at),
+                        "a draining target gets no call unless it is a fallback"
+                    );
+                    prop_assert!(!is_fallback(at) || !has_open(confinement));
                 }
                 now += 100;
                 batcher.ended(now, &call, CallEnd::Answered(100), &vec![None; call.pieces.len()]);
@@ -197,9 +200,9 @@
             now += 100;
         }
         let unconfined_wait = if targets.iter().any(|it| !it.2) { 0 } else {
-            pieces.iter().filter(|it| it.0.is_free()).count()
+            items.iter().filter(|it| it.0.is_free()).count()
         };
-        prop_assert_eq!(batcher.waiting(), unconfined_wait, "nothing waits for ever");
+        prop_assert_eq!(batcher.waiting(), unconfined_wait, "no other items keep waiting");
     }
 
     #[test]
@@ -243,7 +246,7 @@
 }
 
 #[test]
-fn a_route_and_an_organisation_bind_together_and_free_ones_cost_nothing() {
+fn confinements_of_route_and_organisation_combine_and_free_ones_have_no_bounds() {
     let of = |names: &[&str]| Confinement::to(names.iter().map(|it| (*it).to_owned()));
     let acme =
         Tenancy { name: "acme".to_owned(), rank: None, confinement: of(&["north", "south"]) };
@@ -263,12 +266,12 @@
 }
 
 #[test]
-fn regions_that_nobody_knows_are_named_and_allow_nothing() {
+fn unknown_regions_are_listed_and_allow_nothing() {
     let topology = Topology::new("east", BTreeMap::from([("a".to_owned(), "east".to_owned())]));
     let confinement = Confinement::to(["east", "moon", ""].map(str::to_owned));
     assert_eq!(confinement.unknown(&topology).collect::<Vec<_>>(), ["", "moon"]);
     let bounds = confinement.bounds(&topology).unwrap();
     assert!(bounds.allows("a") && !bounds.allows(""));
     let nowhere = Confinement::to([]).bounds(&topology).unwrap();
-    assert!(!nowhere.allows("a"), "an empty list allows none");
+    assert!(!nowhere.allows("a"), "an empty list allows no domain");
 }
--- a/crates/holdpoint-core/tests/evacuation.rs
+++ b/crates/holdpoint-core/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Orders to evacuate failure domains: whatever way they reach an instance, it knows what some prefix of
-//! their log says, and never goes back.
+//! Evacuation orders for failure domains. Guards against an instance whose state matches no prefix of the log of
+//! orders, or falls back to an older one, whichever way it receives updates.
 
 use holdpoint_core::era::Position;
 use holdpoint_core::evacuation::{Evacuations, Horizon, Order};
@@ -11,18 +11,18 @@
 
 const DOMAINS: [&str; 3] = ["a", "b", "nobody-knows"];
 
-/// What may happen to one of several instances.
+/// A change to the log, or an update of one of several instances.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The operator evacuates or restores a domain.
+    /// An operator evacuates or restores a domain.
     Write { domain: usize, is_evacuated: bool },
-    /// It reads all newest records; the answer may have been made some records ago.
-    ReadWhole { instance: usize, delay: u64 },
-    /// It reads the records from an offset that it knows of, which may be behind what peers told.
-    ReadOn { instance: usize, from_back: u64 },
-    /// It takes over what a peer knew when it knew so many records less.
+    /// Reads the newest record of each domain; the answer may lack the last `delay` records.
+    ReadNewest { instance: usize, delay: u64 },
+    /// Reads the records from `overlap` records before the instance's position.
+    ReadFrom { instance: usize, overlap: u64 },
+    /// Applies the state of a peer.
     Follow { instance: usize, peer: usize },
-    /// It starts anew with nothing, and asks a peer before it is ready.
+    /// Restarts without state, and applies the state of a peer.
     Restart { instance: usize, peer: usize },
 }
 
@@ -30,15 +30,14 @@
     prop_oneof![
         (0..DOMAINS.len(), any::<bool>())
             .prop_map(|(domain, is_evacuated)| Step::Write { domain, is_evacuated }),
-        (0..4_usize, 0..4_u64).prop_map(|(instance, delay)| Step::ReadWhole { instance, delay }),
-        (0..4_usize, 0..4_u64)
-            .prop_map(|(instance, from_back)| Step::ReadOn { instance, from_back }),
+        (0..4_usize, 0..4_u64).prop_map(|(instance, delay)| Step::ReadNewest { instance, delay }),
+        (0..4_usize, 0..4_u64).prop_map(|(instance, overlap)| Step::ReadFrom { instance, overlap }),
         (0..4_usize, 0..4_usize).prop_map(|(instance, peer)| Step::Follow { instance, peer }),
         (0..4_usize, 0..4_usize).prop_map(|(instance, peer)| Step::Restart { instance, peer }),
     ]
 }
 
-/// What the first records of the log say, by reading them one after the other.
+/// Domains that are evacuated after the first `horizon` records, by reading them one after the other.
 fn state(log: &[Order], horizon: Horizon) -> Vec<&str> {
     let mut evacuated = Vec::new();
     for order in &log[..horizon as usize] {
@@ -51,20 +50,20 @@
     evacuated
 }
 
-/// The newest record of each domain among the first of the log, without those that were dropped.
+/// The newest record of each domain that is evacuated after the first `end` records.
 fn newest(log: &[Order], end: Horizon) -> Vec<Order> {
     let evacuated = state(log, end);
     let named = |domain: &str| log[..end as usize].iter().rfind(|it| it.domain == domain).cloned();
     evacuated.into_iter().filter_map(named).collect()
 }
 
-fn known(instance: &Evacuations) -> Vec<&str> {
+fn evacuated_domains(instance: &Evacuations) -> Vec<&str> {
     instance.domains().map(String::as_str).collect()
 }
 
 proptest! {
     #[test]
-    fn an_instance_knows_what_a_prefix_of_the_log_says_and_never_goes_back(
+    fn an_instance_matches_a_prefix_of_the_log_and_never_goes_back(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let mut log: Vec<Order> = Vec::new();
@@ -72,61 +71,61 @@
         for step in steps {
             let before = instances.clone();
             let end = log.len() as Horizon;
-            let touched = match step {
+            let updated = match step {
                 Step::Write { domain, is_evacuated } => {
                     log.push(Order { offset: end, domain: DOMAINS[domain].to_owned(), is_evacuated });
                     continue;
                 }
-                Step::ReadWhole { instance, delay } => {
+                Step::ReadNewest { instance, delay } => {
                     let end = end.saturating_sub(delay);
                     instances[instance].advance(0, Evacuations::new(at(end), newest(&log, end)));
                     instance
                 }
-                Step::ReadOn { instance, from_back } => {
+                Step::ReadFrom { instance, overlap } => {
                     let it = &mut instances[instance];
-                    let from = it.horizon().saturating_sub(from_back) as usize;
+                    let from = it.horizon().saturating_sub(overlap) as usize;
                     let next = it.followed_by(end, &log[from..]);
                     it.advance(0, next);
                     instance
                 }
                 Step::Follow { instance, peer } => {
-                    let told = instances[peer].clone();
-                    instances[instance].advance(0, told);
+                    let received = instances[peer].clone();
+                    instances[instance].advance(0, received);
                     instance
                 }
                 Step::Restart { instance, peer } => {
-                    let told = instances[peer].clone();
+                    let received = instances[peer].clone();
                     instances[instance] = Evacuations::default();
-                    instances[instance].advance(0, told);
-                    prop_assert_eq!(&instances[instance], &before[peer], "what its peer knew");
+                    instances[instance].advance(0, received);
+                    prop_assert_eq!(&instances[instance], &before[peer], "same state as the peer");
                     instance
                 }
             };
-            let it = &instances[touched];
-            prop_assert_eq!(known(it), state(&log, it.horizon()));
+            let it = &instances[updated];
+            prop_assert_eq!(evacuated_domains(it), state(&log, it.horizon()));
             if !matches!(step, Step::Restart { .. }) {
-                prop_assert!(before[touched].horizon() <= it.horizon());
+                prop_assert!(before[updated].horizon() <= it.horizon());
             }
         }
     }
 }
 
-/// Whoever was cut off while an order was withdrawn has heard of the order and not of its end; a peer
-/// that started since then has heard of neither.
+/// Guards against an instance that was partitioned while an order was withdrawn, and keeps the order although a peer
+/// has a newer state.
 #[test]
-fn a_withdrawal_is_learned_from_one_that_never_knew_the_order() {
+fn a_withdrawal_is_learned_from_a_peer_that_never_received_the_order() {
     let order = Order { offset: 3, domain: "a".to_owned(), is_evacuated: true };
-    let mut cut_off = Evacuations::new(at(4), [order]);
-    let started_since = Evacuations::new(at(6), []);
-    let changes = cut_off.advance(0, started_since).expect("it is newer");
+    let mut partitioned = Evacuations::new(at(4), [order]);
+    let newer = Evacuations::new(at(6), []);
+    let changes = partitioned.advance(0, newer).expect("the peer's state is newer");
     assert!(!changes[0].is_evacuated);
-    assert!(!cut_off.is_evacuated("a"));
+    assert!(!partitioned.is_evacuated("a"));
 }
 
 #[test]
 fn an_order_that_is_repeated_changes_nothing() {
     let order = |offset| Order { offset, domain: "a".to_owned(), is_evacuated: true };
-    let mut known = Evacuations::new(at(4), [order(3)]);
-    let next = known.followed_by(5, &[order(4)]);
-    assert_eq!(known.advance(0, next), Some(Vec::new()));
+    let mut evacuations = Evacuations::new(at(4), [order(3)]);
+    let next = evacuations.followed_by(5, &[order(4)]);
+    assert_eq!(evacuations.advance(0, next), Some(Vec::new()));
 }
