--- a/crates/holdpoint-core/benches/decisions.rs
+++ b/crates/holdpoint-core/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Cost of one decision: routing over pools of three sizes, admission among many organisations, a call
-//! made of the pieces that wait.
+//! Cost of one decision: routing over pools of three sizes, admission among many organisations, and building a call
+//! from the waiting items.
 
 use std::hint::black_box;
 
@@ -76,8 +76,8 @@
     group.finish();
 }
 
-/// One turn of the batcher with so many pieces waiting: a group of three is offered, what is over is
-/// dropped, and a call is made and ended. With 20 targets.
+/// One round of a batcher with 20 targets and a given number of waiting items: offers a group of three, drops expired
+/// items, and builds and ends a call.
 fn batching(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("batch");
     for waiting in WAITING {
@@ -87,10 +87,10 @@
             bencher.iter(|| {
                 for _ in 0..3 {
                     ticket += 1;
-                    batcher.offer(1000, piece(ticket, ticket / 3));
+                    batcher.offer(1000, item(ticket, ticket / 3));
                 }
                 black_box(batcher.expire(1000));
-                let call = batcher.next(1000).expect("targets are free and pieces wait");
+                let call = batcher.next(1000).expect("targets are free and items wait");
                 batcher.ended(1000, &call, CallEnd::Answered(370), &[]);
                 call.pieces.into_iter().skip(3).for_each(|it| batcher.offer(1000, it));
             });
@@ -109,11 +109,11 @@
         keep_ms: 4000,
     });
     batcher.set_targets(TARGET_NAMES.iter().map(|it| (*it, "d", false)));
-    (0..waiting).for_each(|it| batcher.offer(1000, piece(it, it / 3)));
+    (0..waiting).for_each(|it| batcher.offer(1000, item(it, it / 3)));
     batcher
 }
 
-fn piece(ticket: u64, group: u64) -> Waiting {
+fn item(ticket: u64, group: u64) -> Waiting {
     let due = 2000 + group % 3000;
     let (deadline, late_due) = (1_000_000, 1_000_000);
     let inputs_until = Some(5000);
--- a/crates/holdpoint-core/tests/growth.rs
+++ b/crates/holdpoint-core/tests/growth.rs
@@ -1,7 +1,5 @@
-//! What one instance does and keeps, in a fleet of 100, 1,000 and 2,000 instances with ten targets to each.
-//!
-//! The aim is that a fleet twice as large costs an instance no more: counts here stay level, or grow with the
-//! number of changes. Nothing is timed.
+//! Guards against work or memory of one instance that grows with the size of the fleet, in fleets of 100, 1,000 and
+//! 2,000 instances with ten targets per instance. The tests count operations and measure no times.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +15,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Sizes of the fleet, in instances.
+/// Numbers of instances in the fleet.
 const SIZES: [usize; 3] = [100, 1000, 2000];
-/// Targets to each instance.
-const TARGETS: usize = 10;
+/// Targets per instance.
+const TARGETS_PER_INSTANCE: usize = 10;
 const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 fn member(index: usize) -> Member {
@@ -57,30 +55,28 @@
     router.choose(now, &policy(), call, &mut rng).unwrap()
 }
 
-/// One instance places the prompts of all. At 5,634 engines each of them was compared for each prompt, and
-/// for each one the mean pace was summed up over all and its rank looked for among all: 63 million steps a
-/// prompt, at 217 prompts a second.
+/// Guards against routing that compares all targets of a large pool for each prompt.
 #[test]
-fn a_prompt_is_compared_at_no_more_targets_in_a_larger_fleet() {
+fn the_number_of_compared_targets_does_not_grow_with_the_fleet() {
     let compared = |size: usize| {
-        let mut router = router(size * TARGETS);
+        let mut router = router(size * TARGETS_PER_INSTANCE);
         (0..20).map(|it| choose(&mut router, 0, &prompt(it), it).reason.compared).max().unwrap()
     };
     let counts = SIZES.map(compared);
     assert!(counts[2] <= counts[1] && counts[1] <= 140, "{counts:?}");
-    let mut few = router(100);
+    let mut small = router(100);
     assert_eq!(
-        choose(&mut few, 0, &prompt(1), 1).reason.compared,
+        choose(&mut small, 0, &prompt(1), 1).reason.compared,
         100,
-        "a few are compared as a whole"
+        "a small pool is compared as a whole"
     );
 }
 
-/// A prefix stays where it was read, also where hardly any of the targets is looked at.
+/// Guards against prefixes that move to other targets when only a small part of the pool is compared.
 #[test]
 fn a_prefix_stays_at_its_target_in_a_large_fleet() {
     for size in SIZES {
-        let mut router = router(size * TARGETS);
+        let mut router = router(size * TARGETS_PER_INSTANCE);
         for prefix in 0..50 {
             let first = choose(&mut router, 0, &prompt(prefix), prefix).address;
             router.placed(0, &first, &prompt(prefix));
@@ -95,10 +91,10 @@
     }
 }
 
-/// All instances expect a prefix at the same targets, whatever the order in which they heard of them.
+/// Guards against instances that place a prefix at different targets because they learned of these in another order.
 #[test]
-fn routers_that_heard_of_their_targets_in_another_order_expect_a_prefix_at_the_same_one() {
-    let targets = 1000 * TARGETS;
+fn the_order_of_target_updates_does_not_change_where_a_prefix_is_placed() {
+    let targets = 1000 * TARGETS_PER_INSTANCE;
     let mut one = router(targets);
     let mut other = Router::new("j", "a", policy());
     (0..targets).rev().for_each(|it| other.put_member(member(it)));
@@ -113,10 +109,10 @@
     }
 }
 
-/// An instance says what it knows with each question to the one that it follows, several times a second. The
-/// hash over all of 10,000 targets was made anew each time; now a sum is kept that each change adjusts.
+/// Guards against an incrementally updated hash of the directory that differs from that of a directory with the same
+/// entries.
 #[test]
-fn the_sum_of_what_is_known_follows_from_what_is_listed() {
+fn the_incremental_sum_depends_on_the_listed_entries_only() {
     let entry = |index: usize, sequence, is_leaving| TargetInstance {
         id: format!("i{index}"),
         service: "s".into(),
@@ -150,13 +146,13 @@
     assert_eq!(changed.digest(), listed.digest());
     assert_ne!(changed.sum(), Directory::default().sum());
     changed.expire(10);
-    assert_eq!(changed.sum(), listed.sum(), "what has lapsed was not counted");
+    assert_eq!(changed.sum(), listed.sum(), "lapsed entries are not part of the sum");
     let ids: Vec<String> = changed.all().map(|it| it.id.clone()).collect();
     for it in &ids {
         changed.remove(it);
     }
     assert_eq!(changed.sum(), Directory::default().sum());
-    assert_eq!(changed.at("10.0.0.1:80").count(), 0, "no address is left behind");
+    assert_eq!(changed.at("10.0.0.1:80").count(), 0, "the address index is empty");
 }
 
 fn instances(size: usize) -> Vec<(String, &'static str, Capacity)> {
@@ -164,7 +160,7 @@
         0 => Capacity { millicores: 1000, link_mbps: 1000 },
         _ => Capacity { millicores: 120, link_mbps: 20 },
     };
-    // Every sixth in each domain, and the strong ones spread over all.
+    // Each domain has a sixth of the instances, and the strong ones are spread over all domains.
     let domain = |it: usize| DOMAINS[(it / 16 + it) % DOMAINS.len()];
     (0..size).map(|it| (format!("n{it}"), domain(it), capacity(it))).collect()
 }
@@ -180,11 +176,10 @@
     all.iter().map(member).collect()
 }
 
-/// One that starts learns the leaders from a seed, and how many instances each domain has. With that it
-/// follows whom it would follow if it knew all. Each of 985 read the whole list from the store at its start:
-/// 200 kB each, two calls each.
+/// Guards against a starting instance that has to read the whole list of members from the store: the leaders and the
+/// number of instances per domain suffice to choose its sources.
 #[test]
-fn whoever_knows_the_leaders_follows_whom_it_would_follow_if_it_knew_all() {
+fn the_plan_by_leaders_and_domain_sizes_equals_that_by_all_members() {
     for size in SIZES {
         let all = instances(size);
         let members = fleet(&all);
@@ -195,11 +190,11 @@
         for own in members.iter().step_by(37) {
             let is_known = |it: &&Instance<'_>| it.name == own.name || leaders.contains(&it.name);
             let known: Vec<Instance<'_>> = members.iter().filter(is_known).copied().collect();
-            let of_all = plan(own.name, "", own.domain, &members, &DomainSizes::new());
-            let of_known = plan(own.name, "", own.domain, &known, &sizes);
+            let full_plan = plan(own.name, "", own.domain, &members, &DomainSizes::new());
+            let partial_plan = plan(own.name, "", own.domain, &known, &sizes);
             assert_eq!(
-                (of_known.role, of_known.asked),
-                (of_all.role, of_all.asked),
+                (partial_plan.role, partial_plan.asked),
+                (full_plan.role, full_plan.asked),
                 "{}",
                 own.name
             );
@@ -207,10 +202,10 @@
     }
 }
 
-/// News cross the boundary of a failure domain once a relay, which are one for each 24 instances, and not
-/// once an instance; and no source has more followers in a larger fleet.
+/// Guards against updates that cross the boundary of a failure domain once per instance rather than once per relay,
+/// and against sources with more followers in a larger fleet.
 #[test]
-fn most_instances_follow_one_in_their_own_failure_domain() {
+fn most_instances_follow_a_source_in_their_own_failure_domain() {
     for size in SIZES {
         let all = instances(size);
         let members = fleet(&all);
@@ -233,55 +228,54 @@
         assert_eq!(readers, 3, "of {size}");
         assert!(relays <= size / 24 + DOMAINS.len(), "{relays} relays of {size}");
         let most = followers.values().max().unwrap();
-        assert!(*most <= 48, "{most} followers of one in {size}");
+        assert!(*most <= 48, "{most} followers of one source in {size}");
         if 1000 <= size {
-            assert!(across <= size / 24, "{across} of {size} follow one of another domain");
+            assert!(across <= size / 24, "{across} of {size} follow a source in another domain");
         }
     }
 }
 
-/// Callers bring so many requests a second to the whole fleet, whatever its size. The owner of a service was
-/// asked four times a second by each instance that had ever used it: 3,940 times a second by 985 instances
-/// for 293 requests. What it is asked now follows the requests.
+/// Guards against heartbeats to the owner of a service whose rate grows with the fleet although the rate of requests
+/// stays the same.
 #[test]
-fn an_owner_is_asked_whether_it_is_there_as_often_as_requests_need() {
-    const PER_S: usize = 200;
-    const ASK_MS: usize = 250;
-    const SPAN_MS: usize = 20_000;
-    /// How long a request uses an owner.
+fn heartbeats_to_an_owner_do_not_grow_with_the_fleet() {
+    const REQUESTS_PER_S: usize = 200;
+    const HEARTBEAT_MS: usize = 250;
+    const DURATION_MS: usize = 20_000;
+    /// Time for which a request uses the owner.
     const CALL_MS: usize = 400;
-    let asked = |size: usize| {
+    let rate = |size: usize| {
         let mut used = vec![0_usize; size];
-        let mut questions = 0;
-        for now in (0..SPAN_MS).step_by(ASK_MS) {
-            for request in 0..PER_S * ASK_MS / 1000 {
-                used[(now / ASK_MS * 7919 + request * 104_729) % size] = now.max(1);
+        let mut heartbeats = 0;
+        for now in (0..DURATION_MS).step_by(HEARTBEAT_MS) {
+            for request in 0..REQUESTS_PER_S * HEARTBEAT_MS / 1000 {
+                used[(now / HEARTBEAT_MS * 7919 + request * 104_729) % size] = now.max(1);
             }
-            let is_asked = |it: &&usize| {
+            let is_due = |it: &&usize| {
                 let calls = usize::from(**it != 0 && now.saturating_sub(**it) < CALL_MS);
                 let its = Use { calls, used: **it as u64, is_standing: false };
                 duty(now as u64, its) == Duty::Ask && **it != 0
             };
-            questions += used.iter().filter(is_asked).count();
+            heartbeats += used.iter().filter(is_due).count();
         }
-        questions * 1000 / SPAN_MS
+        heartbeats * 1000 / DURATION_MS
     };
-    let counts = SIZES.map(asked);
-    // Each request keeps its owner asked for a second after it, at most.
-    let most = PER_S * (CALL_MS + 1000) / ASK_MS;
+    let counts = SIZES.map(rate);
+    // A request keeps up heartbeats to the owner for at most a second after its end.
+    let most = REQUESTS_PER_S * (CALL_MS + 1000) / HEARTBEAT_MS;
     assert!(counts.iter().all(|it| *it <= most), "{counts:?} of {most}");
     assert!(counts[2] <= counts[1] * 5 / 4, "{counts:?}");
-    let rested = Use { calls: 0, used: 1_000, is_standing: false };
-    assert_eq!(duty(20_000, rested), Duty::Rest);
-    assert_eq!(duty(60_000, rested), Duty::Close);
-    assert_eq!(duty(60_000, Use { is_standing: true, ..rested }), Duty::Ask);
+    let idle = Use { calls: 0, used: 1_000, is_standing: false };
+    assert_eq!(duty(20_000, idle), Duty::Rest);
+    assert_eq!(duty(60_000, idle), Duty::Close);
+    assert_eq!(duty(60_000, Use { is_standing: true, ..idle }), Duty::Ask);
 }
 
-/// Each instance read a changed configuration of 83 kB from the store, 110 kB as it sends it. Sent by the
-/// sources, what leaves the store is three readers' worth at any size.
+/// Guards against a changed configuration that each instance reads from the store instead of receiving it from its
+/// source.
 #[test]
-fn a_configuration_leaves_the_store_as_often_in_a_large_fleet_as_in_a_small_one() {
-    const PACKED: usize = 12 << 10;
+fn configuration_reads_from_the_store_do_not_grow_with_the_fleet() {
+    const PACKED_BYTES: usize = 12 << 10;
     for size in SIZES {
         let all = instances(size);
         let members = fleet(&all);
@@ -289,7 +283,7 @@
             |it: &Instance<'_>| plan(it.name, "", it.domain, &members, &DomainSizes::new()).role;
         let reads = members
             .iter()
-            .filter(|it| role(it) == Role::Reader || !sends_configuration(PACKED, 1000));
+            .filter(|it| role(it) == Role::Reader || !sends_configuration(PACKED_BYTES, 1000));
         assert_eq!(reads.count(), 3, "of {size}");
     }
     assert!(sends_configuration(1 << 20, 1000) && !sends_configuration(40 << 10, 10));
