--- a/crates/holdpoint-core/tests/ingress.rs
+++ b/crates/holdpoint-core/tests/ingress.rs
@@ -1,4 +1,4 @@
-//! Laws of what the ingress decides: routes, targets that leave, the shared retry budget, events.
+//! Properties of ingress decisions: routing, draining targets, the shared retry budget, event streams.
 
 use std::collections::HashSet;
 
@@ -62,12 +62,16 @@
 }
 
 #[test]
-fn keys_belong_to_organisations_and_open_routes_need_none() {
+fn keys_identify_organisations_and_anonymous_routes_need_none() {
     let configuration = configuration();
     let long = configuration.route("a.example", "/x/y/").unwrap();
     let organisation = configuration.organisation(long, Some("k-2")).unwrap().unwrap();
     assert_eq!(organisation.name, "acme");
-    assert_eq!(long.rank_for(Some(organisation)), 0, "a route's rank yields to an organisation's");
+    assert_eq!(
+        long.rank_for(Some(organisation)),
+        0,
+        "an organisation's rank overrides the route's"
+    );
     assert_eq!(configuration.organisation(long, Some("k-3")), Err(Denied::BadKey));
     assert_eq!(configuration.organisation(long, None), Err(Denied::BadKey));
     let open = configuration.route("b.example", "/z").unwrap();
@@ -78,8 +82,8 @@
 fn a_split_follows_its_weights_and_is_the_same_for_the_same_request() {
     let configuration = configuration();
     let long = configuration.route("a.example", "/x/y/").unwrap();
-    let to_t = (0..10_000).filter(|it| long.service_of(&format!("r-{it}")) == Some("t")).count();
-    assert!((800..1200).contains(&to_t), "{to_t} of 10,000 at a weight of 10 in 100");
+    let count = (0..10_000).filter(|it| long.service_of(&format!("r-{it}")) == Some("t")).count();
+    assert!((800..1200).contains(&count), "{count} of 10,000 at a weight of 10 in 100");
     assert_eq!(long.service_of("r-1"), long.service_of("r-1"));
 }
 
@@ -99,7 +103,7 @@
 }
 
 #[test]
-fn a_beat_changes_nothing_and_an_old_entry_is_passed_over() {
+fn a_heartbeat_changes_nothing_and_an_older_entry_is_ignored() {
     let mut directory = Directory::default();
     assert_eq!(directory.put(0, entry(2, false)), Change::Joined);
     assert_eq!(directory.put(0, entry(3, false)), Change::Nothing);
@@ -108,77 +112,96 @@
     assert_eq!(directory.put(0, TargetInstance { slots: 4, ..entry(4, false) }), Change::Altered);
 }
 
-/// A target starts again under its id, and counts its entries anew. An instance that went by the count
-/// passed the entries of the new life over, as older than those of the one before, and went on with an
-/// address where nobody was, or with a sign of leaving that the new life never gave.
+/// A restarted target counts its entries from one again: its new incarnation must not be ignored as older, nor
+/// keep the address or the drain notice of the previous one.
 #[test]
-fn a_target_that_starts_again_under_its_id_is_known_by_its_new_entries() {
-    let life = |born, sequence, address: &str| TargetInstance {
+fn a_restarted_target_replaces_its_previous_incarnation() {
+    let incarnation = |born, sequence, address: &str| TargetInstance {
         born: Some(born),
         address: address.to_owned(),
         ..entry(sequence, false)
     };
     let mut directory = Directory::default();
-    assert_eq!(directory.put(0, life(1000, 900, "10.0.0.1:80")), Change::Joined);
+    assert_eq!(directory.put(0, incarnation(1000, 900, "10.0.0.1:80")), Change::Joined);
     directory.hold_cold(0, "i", 5000);
     directory.leave("i", None);
-    assert_eq!(directory.put(1, life(2000, 1, "10.0.0.2:80")), Change::Restarted);
+    assert_eq!(directory.put(1, incarnation(2000, 1, "10.0.0.2:80")), Change::Restarted);
     let found = directory.get("i").unwrap();
     assert_eq!((found.address.as_str(), found.is_leaving), ("10.0.0.2:80", false));
-    assert_eq!(directory.cold_left(1, "i"), 0, "what was held of the life before is over");
-    assert_eq!(directory.put(2, life(1000, 950, "10.0.0.1:80")), Change::Nothing, "an old life");
-    assert_eq!(directory.put(3, life(2000, 2, "10.0.0.2:80")), Change::Nothing, "a beat");
+    assert_eq!(
+        directory.cold_left(1, "i"),
+        0,
+        "the cold start of the previous incarnation is dropped"
+    );
+    assert_eq!(
+        directory.put(2, incarnation(1000, 950, "10.0.0.1:80")),
+        Change::Nothing,
+        "an older incarnation"
+    );
+    assert_eq!(
+        directory.put(3, incarnation(2000, 2, "10.0.0.2:80")),
+        Change::Nothing,
+        "a heartbeat"
+    );
     assert_eq!(directory.get("i").unwrap().address, "10.0.0.2:80");
     let other = Directory::default();
     let digest = |born| {
         let mut directory = other.clone();
-        directory.put(0, life(born, 1, "10.0.0.2:80"));
+        directory.put(0, incarnation(born, 1, "10.0.0.2:80"));
         directory.digest()
     };
-    assert_ne!(digest(1000), digest(2000), "whoever knows the life before is told");
+    assert_ne!(
+        digest(1000),
+        digest(2000),
+        "a peer with the previous incarnation sees a difference"
+    );
 }
 
-/// A sign of leaving from an answer holds for the life that gave it, whatever entries say.
+/// A drain notice in an answer holds for the incarnation that gave it, whatever its entries say.
 #[test]
-fn a_sign_of_leaving_holds_for_its_life() {
-    let life = |born, sequence, is_leaving| TargetInstance {
+fn a_drain_notice_holds_for_its_incarnation() {
+    let incarnation = |born, sequence, is_leaving| TargetInstance {
         born: Some(born),
         ..entry(sequence, is_leaving)
     };
     let is_leaving = |it: &Directory| it.get("i").unwrap().is_leaving;
     let mut directory = Directory::default();
-    directory.put(0, life(1000, 5, false));
-    assert_eq!(directory.leave("i", Some(900)), Change::Nothing, "an answer of the life before");
+    directory.put(0, incarnation(1000, 5, false));
+    assert_eq!(
+        directory.leave("i", Some(900)),
+        Change::Nothing,
+        "an answer of the previous incarnation"
+    );
     assert_eq!(directory.leave("i", Some(1000)), Change::Leaving);
-    assert_eq!(directory.leave("i", Some(1000)), Change::Nothing, "it is known");
-    directory.put(1, life(1000, 6, false));
-    assert!(is_leaving(&directory), "a later entry that says ready");
+    assert_eq!(directory.leave("i", Some(1000)), Change::Nothing, "already known");
+    directory.put(1, incarnation(1000, 6, false));
+    assert!(is_leaving(&directory), "despite a later entry that says ready");
     directory.remove("i");
-    directory.put(2, life(1000, 7, false));
-    assert!(is_leaving(&directory), "an entry that lapsed and came back");
-    directory.put(3, life(2000, 1, false));
-    assert!(!is_leaving(&directory), "the next life");
+    directory.put(2, incarnation(1000, 7, false));
+    assert!(is_leaving(&directory), "after an entry that lapsed and returned");
+    directory.put(3, incarnation(2000, 1, false));
+    assert!(!is_leaving(&directory), "the next incarnation");
 
-    // Heard while its entry was gone.
+    // The notice comes while the entry is missing.
     let mut directory = Directory::default();
     assert_eq!(directory.leave("i", Some(1000)), Change::Nothing);
-    directory.put(0, life(1000, 5, false));
+    directory.put(0, incarnation(1000, 5, false));
     assert!(is_leaving(&directory));
 
-    // Told by a peer whose entry of the target is older.
+    // The notice comes from a peer whose entry of the target is older.
     let mut directory = Directory::default();
-    directory.put(0, life(1000, 5, false));
-    assert_eq!(directory.put(1, life(1000, 4, true)), Change::Leaving);
+    directory.put(0, incarnation(1000, 5, false));
+    assert_eq!(directory.put(1, incarnation(1000, 4, true)), Change::Leaving);
     assert_eq!(directory.get("i").unwrap().sequence, 5);
     assert_eq!(directory.sum(), {
         let mut other = Directory::default();
-        other.put(0, life(1000, 9, true));
+        other.put(0, incarnation(1000, 9, true));
         other.sum()
     });
 }
 
 #[test]
-fn a_second_send_that_reached_nobody_is_free() {
+fn a_retry_that_reached_no_target_is_not_charged() {
     let terms = Terms { ratio: 0.2, window_ms: 1000, slack: 5.0, instances: 1 };
     let mut budget = SharedBudget::default();
     for now in 0..100 {
@@ -186,22 +209,22 @@
         budget.take_back();
     }
     let spent = (0..100).filter(|it| budget.spend(100 + it, &terms)).count();
-    assert_eq!(spent, 3, "six tenths of the slack");
+    assert_eq!(spent, 3, "60% of the slack");
 }
 
 proptest! {
     #[test]
-    fn leaving_is_final_for_an_id(entries in prop::collection::vec((0..20_u64, any::<bool>()), 1..40)) {
+    fn draining_is_final_for_an_id(entries in prop::collection::vec((0..20_u64, any::<bool>()), 1..40)) {
         let mut directory = Directory::default();
-        let mut has_left = false;
+        let mut is_draining = false;
         for (sequence, is_leaving) in entries {
-            // An older entry counts too: a peer may have the sign from an answer.
-            has_left |= is_leaving;
+            // An older entry counts too: a peer may have the notice from an answer.
+            is_draining |= is_leaving;
             directory.put(0, entry(sequence, is_leaving));
-            prop_assert_eq!(directory.get("i").unwrap().is_leaving, has_left);
+            prop_assert_eq!(directory.get("i").unwrap().is_leaving, is_draining);
         }
         directory.replace(0, vec![entry(100, false)]);
-        prop_assert_eq!(directory.get("i").unwrap().is_leaving, has_left);
+        prop_assert_eq!(directory.get("i").unwrap().is_leaving, is_draining);
     }
 
     #[test]
@@ -216,9 +239,9 @@
         }
     }
 
-    /// The rule is counted over any window, for all instances together.
+    /// The budget holds over any window, for all instances together.
     #[test]
-    fn second_sends_of_all_instances_keep_the_budget(
+    fn retries_of_all_instances_stay_within_the_budget(
         sends in prop::collection::vec((0..4_usize, 0..300_u64, any::<bool>()), 1..400),
     ) {
         let terms = Terms { ratio: 0.2, window_ms: 10_000, slack: 40.0, instances: 4 };
@@ -243,7 +266,7 @@
     }
 
     #[test]
-    fn events_come_out_byte_for_byte_however_they_are_cut(
+    fn events_are_unchanged_for_any_chunking(
         cuts in prop::collection::vec(1..9_usize, 1..80),
         ends in prop::collection::vec(any::<bool>(), 1..12),
     ) {
@@ -273,7 +296,7 @@
 }
 
 #[test]
-fn only_a_proof_says_that_nothing_has_run() {
+fn a_ledger_closes_only_if_no_call_may_have_run() {
     let ledger = Ledger::new();
     ledger.begin().unwrap().declined();
     ledger.begin().unwrap().never_sent();
@@ -281,11 +304,11 @@
     let ledger = Ledger::new();
     ledger.begin().unwrap().declined();
     drop(ledger.begin().unwrap());
-    assert!(ledger.close().is_err(), "one call that may have run is enough");
+    assert!(ledger.close().is_err(), "one call may have run");
 }
 
 #[test]
-fn requests_meet_by_the_longest_part_that_they_share() {
+fn requests_with_the_same_shared_parts_have_one_affinity() {
     let part = |id, tokens| Part { id, tokens };
     let prompt = |parts: Vec<Part>| Prompt { parts, tokens_in: 500, ..Prompt::default() };
     let one = prompt(vec![part(1, 100), part(2, 200), part(3, 50)]);
@@ -297,23 +320,23 @@
 }
 
 #[test]
-fn a_long_time_is_forgotten_when_nothing_is_measured_any_more() {
+fn a_long_recent_time_decays_without_new_measurements() {
     let mut time = RecentTime::default();
     assert_eq!(time.get(1000, 300), 300);
     (0..40).for_each(|it| time.record(1000 + it, 4000));
     assert!((3900..=4000).contains(&time.get(1040, 300)));
-    assert!(time.get(9000, 300) < 310, "or what it had refused would be refused for good");
+    assert!(time.get(9000, 300) < 310, "else the requests it rejects would be rejected for good");
 }
 
 #[test]
-fn all_who_know_the_same_members_choose_the_same_readers() {
+fn instances_with_the_same_members_choose_the_same_readers() {
     let names: Vec<String> = (0..74).map(|it| format!("n-{it}")).collect();
     let members: Vec<&str> = names.iter().map(String::as_str).collect();
     let chosen = sources(&members);
-    assert_eq!(chosen.len(), 4, "one for each 24");
+    assert_eq!(chosen.len(), 4, "one per 24 members");
     let shuffled: Vec<&str> = members.iter().rev().copied().collect();
     assert!(sources(&shuffled).iter().all(|it| chosen.contains(it)));
-    assert_eq!(readers(&members).len(), 3, "however many there are");
+    assert_eq!(readers(&members).len(), 3, "for any number of members");
     assert!(readers(&members).iter().all(|it| chosen.contains(it)));
     assert!(readers(&shuffled).iter().all(|it| readers(&members).contains(it)));
     assert_eq!((readers(&members[..2]).len(), sources(&members[..2]).len()), (2, 2));
@@ -326,11 +349,11 @@
     assert!(!order_for(chosen[1], &chosen).contains(&chosen[1]));
     let firsts: HashSet<&str> =
         members.iter().filter_map(|it| order_for(it, &chosen).first().copied()).collect();
-    assert_eq!(firsts.len(), 4, "followers spread over the readers");
+    assert_eq!(firsts.len(), 4, "followers are spread over the sources");
 }
 
 #[test]
-fn who_follows_a_change_log_misses_nothing_or_is_told_so() {
+fn a_change_log_returns_every_change_or_reports_a_gap() {
     let mut log = ChangeLog::new(3);
     assert_eq!(log.since(0), Some(Vec::new()));
     for change in 0..5 {
@@ -339,7 +362,7 @@
     assert_eq!(log.end(), 5);
     assert_eq!(log.since(5), Some(Vec::new()));
     assert_eq!(log.since(2), Some(vec![2, 3, 4]));
-    assert_eq!(log.since(1), None, "the first of these is no longer kept");
+    assert_eq!(log.since(1), None, "the first of these changes is no longer kept");
     assert_eq!(log.since(6), None, "another log's position");
 }
 
@@ -357,7 +380,7 @@
     for id in ["a", "b", "c"] {
         directory.lapse(id, 100);
     }
-    assert_eq!(whole(&directory), "a b", "who was leaving is gone at once");
+    assert_eq!(whole(&directory), "a b", "a draining target is removed at once");
     directory.put(0, named("a", 2));
     assert_eq!(directory.expire(99), Vec::<String>::new());
     assert_eq!(directory.expire(100), vec!["b".to_owned()]);
@@ -369,13 +392,13 @@
     let (mut one, mut other) = (Directory::default(), Directory::default());
     one.put(0, entry(1, false));
     other.put(0, entry(7, false));
-    assert_eq!(one.digest(), other.digest(), "sequences do not count");
+    assert_eq!(one.digest(), other.digest(), "sequence numbers are ignored");
     other.leave("i", None);
     assert_ne!(one.digest(), other.digest());
 }
 
 #[test]
-fn a_request_falls_to_one_arm_of_the_trial_on_its_route() {
+fn a_request_is_assigned_one_arm_of_the_trial_on_its_route() {
     let mut experiments = Experiments::default();
     let trial = br#"{ "pipeline": "safe", "arms": [
         { "name": "one", "policy": "p" }, { "name": "two", "policy": "q", "weight": 3 } ] }"#;
@@ -387,10 +410,10 @@
     assert_eq!(arms.len(), 400);
     assert_eq!(experiments.arm_for("safe", "r-7").as_ref(), Some(&arms[7]));
     let ones = arms.iter().filter(|it| it.arm == "one").count();
-    assert!((60..140).contains(&ones), "{ones} of 400 have a weight of one in four");
+    assert!((60..140).contains(&ones), "{ones} of 400 for a weight of one in four");
     assert!(experiments.policy("p").is_some());
     assert!(experiments.policy("q").is_none());
-    // What cannot be read changes nothing.
+    // An invalid document changes nothing.
     assert!(experiments.set("policies/p", Some(br#"{ "route": "sideways" }"#)).is_err());
     assert!(experiments.set("pools/p", Some(b"{}")).is_err());
     assert!(experiments.policy("p").is_some());
@@ -399,22 +422,22 @@
 }
 
 #[test]
-fn shared_work_goes_to_those_near_the_strongest() {
+fn shared_work_goes_to_instances_close_to_the_strongest() {
     let of = |millicores, link_mbps| Capacity { millicores, link_mbps };
     let members =
         [("a", of(120, 10)), ("b", of(500, 200)), ("c", of(120, 200)), ("d", of(400, 150))];
     assert_eq!(strong(&members), ["b", "d"]);
     // The best processor and the best link are at different instances.
     assert_eq!(strong(&[("a", of(500, 10)), ("b", of(100, 200)), ("c", of(20, 10))]), ["b"]);
-    // One that states nothing is passed over; where nobody does, all are alike.
+    // An instance that states no capacity is skipped; if none states any, all are chosen.
     assert_eq!(strong(&[("a", of(0, 0)), ("b", of(250, 1000))]), ["b"]);
     assert_eq!(strong(&[("a", of(0, 0)), ("b", of(0, 0))]), ["a", "b"]);
     assert!(strong(&[]).is_empty());
 }
 
-/// What a target takes, it takes from all instances together.
+/// The connection limit of a target is for all instances together.
 #[test]
-fn connections_at_rest_are_no_more_than_a_target_takes() {
+fn idle_connections_stay_within_the_target_limit() {
     for instances in [1, 8, 100, 1000, 2000] {
         for max_connections in [1, 51, 2100] {
             let (cold, engine, batches) = (None, None, None);
--- a/crates/holdpoint-core/tests/laws.rs
+++ b/crates/holdpoint-core/tests/laws.rs
@@ -1,4 +1,4 @@
-//! Laws of the decisions, for any sequence of events.
+//! Properties of the decisions of the core for random sequences of events.
 
 use std::collections::HashSet;
 
@@ -53,7 +53,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_route_gives_work_to_a_leaving_target_or_over_the_cap(
+    fn no_route_chooses_a_draining_target_or_exceeds_the_cap(
         route in 0..6_usize, steps in prop::collection::vec((0..4_u8, 0..8_usize), 1..200)
     ) {
         let policy = holdpoint_schema::resources::Policy { route: ROUTES[route], ..default_policy() };
@@ -95,7 +95,7 @@
     }
 
     #[test]
-    fn retries_stay_within_their_part_of_first_attempts(percent in 0..=100_u32, n in 1..2000_u32) {
+    fn retries_stay_within_their_percentage_of_first_attempts(percent in 0..=100_u32, n in 1..2000_u32) {
         let mut budget = RetryBudget::new();
         let mut spent = 0;
         for _ in 0..n {
@@ -107,7 +107,7 @@
     }
 
     #[test]
-    fn the_gate_counts_what_it_lets_through_and_forgets_who_is_gone(
+    fn the_gate_counts_admitted_requests_and_drops_idle_organisations(
         steps in prop::collection::vec((0..3_u8, 0..4_usize, 0..500_u64), 1..300)
     ) {
         let names = ["a", "b", "c", "d"];
@@ -146,7 +146,7 @@
     }
 
     #[test]
-    fn a_stage_never_gets_more_than_what_remains(remaining in 0..5000_u64, own in 0..500_u64, later in prop::collection::vec(0..500_u64, 0..4)) {
+    fn a_stage_budget_never_exceeds_the_remaining_time(remaining in 0..5000_u64, own in 0..500_u64, later in prop::collection::vec(0..500_u64, 0..4)) {
         let after: Vec<Option<u64>> = later.iter().map(|it| Some(*it)).collect();
         match budget(remaining, Some(own), &after) {
             Budget::Use(it) => prop_assert!(it <= remaining && own <= it),
@@ -162,7 +162,7 @@
             assembler.push(*index, index.to_string());
             out.extend(std::iter::from_fn(|| assembler.pop()).map(|it| it.0));
         }
-        prop_assert_eq!(assembler.progress(), Progress::Open, "without an end mark it is not whole");
+        prop_assert_eq!(assembler.progress(), Progress::Open, "open until the end mark");
         assembler.end(30);
         prop_assert_eq!(assembler.progress(), Progress::Whole);
         prop_assert_eq!(out, (0..30).collect::<Vec<_>>());
@@ -181,7 +181,7 @@
     }
 
     #[test]
-    fn a_subset_moves_by_one_when_a_target_goes(n in 40..80_usize, gone in 0..40_usize) {
+    fn a_subset_changes_by_one_when_a_target_is_removed(n in 40..80_usize, gone in 0..40_usize) {
         let names: Vec<String> = (0..n).map(|it| format!("t{it}")).collect();
         let pick = |names: &[String]| -> HashSet<String> {
             subset("i", names.iter().map(String::as_str), 16).into_iter().map(|it| names[it].clone()).collect()
@@ -195,7 +195,7 @@
     }
 
     #[test]
-    fn digests_reach_everyone_whatever_is_lost(lost in prop::collection::vec(any::<bool>(), 400)) {
+    fn digests_reach_every_instance_despite_losses(lost in prop::collection::vec(any::<bool>(), 400)) {
         let mut views: Vec<View> = (0..9).map(|it| View::new(instance(it), 0)).collect();
         let listed = (0..9).map(|it| (instance(it).name, instance(it).peers)).collect::<std::collections::BTreeMap<_, _>>();
         views.iter_mut().for_each(|it| it.set_listed(listed.clone()));
@@ -222,7 +222,7 @@
         }
         for view in &views {
             prop_assert_eq!(view.live().count(), 9);
-            prop_assert_eq!(view.missing(7).len(), 8, "only one has put offset 7 in force");
+            prop_assert_eq!(view.missing(7).len(), 8, "only one has applied offset 7");
         }
     }
 }
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_member_that_was_declared_stopped_refutes_it() {
+fn a_live_member_refutes_being_declared_stopped() {
     let (mut a, mut b) = (View::new(instance(0), 0), View::new(instance(1), 0));
     b.merge(&a.digest_for(None, 1, None), 0);
     assert!(b.is_live(&instance(0).incarnation));
@@ -248,36 +248,36 @@
     assert!(!b.is_live(&instance(0).incarnation), "silent, not listed, watched");
     a.merge(&b.digest_for(Some(&instance(0).incarnation), 1, None), 10_000);
     b.merge(&a.digest_for(Some(&instance(1).incarnation), 1, None), 10_000);
-    assert!(b.is_live(&instance(0).incarnation), "it lives and says so");
+    assert!(b.is_live(&instance(0).incarnation), "its own digest refutes it");
 }
 
 #[test]
-fn a_listed_member_is_never_buried() {
+fn a_listed_member_is_never_declared_stopped() {
     let (a, mut b) = (View::new(instance(0), 0), View::new(instance(1), 0));
     b.merge(&a.digest_for(None, 1, None), 0);
     b.set_listed([(instance(0).name, instance(0).peers)].into());
     b.bury(10_000, 5000, &[instance(0).peers]);
-    assert_eq!(b.missing(2), ["entry-0", "entry-1"], "a change must wait for it");
+    assert_eq!(b.missing(2), ["entry-0", "entry-1"], "a change has to wait for it");
 }
 
 #[test]
-fn only_a_ready_instance_serves_and_a_pause_isolates_it() {
-    let mut life = Lifecycle::new(1000);
-    assert_eq!(life.phase(), Phase::Starting);
-    life.handle(Event::Tick { now: 5000 });
-    assert_eq!(life.phase(), Phase::Starting, "nothing is known yet");
-    life.handle(Event::Confirmed { now: 5000 });
-    assert_eq!(life.phase(), Phase::Ready);
-    life.handle(Event::Tick { now: 6000 });
-    assert_eq!(life.phase(), Phase::Ready);
-    life.handle(Event::Tick { now: 6001 });
-    assert_eq!(life.phase(), Phase::Isolated, "the bound has passed");
-    life.handle(Event::Confirmed { now: 6002 });
-    life.handle(Event::Stop);
-    life.handle(Event::Confirmed { now: 6003 });
-    assert_eq!(life.phase(), Phase::Draining);
-    life.handle(Event::Drained);
-    assert_eq!(life.phase(), Phase::Stopped);
+fn a_ready_instance_is_isolated_after_a_pause() {
+    let mut lifecycle = Lifecycle::new(1000);
+    assert_eq!(lifecycle.phase(), Phase::Starting);
+    lifecycle.handle(Event::Tick { now: 5000 });
+    assert_eq!(lifecycle.phase(), Phase::Starting, "nothing is confirmed yet");
+    lifecycle.handle(Event::Confirmed { now: 5000 });
+    assert_eq!(lifecycle.phase(), Phase::Ready);
+    lifecycle.handle(Event::Tick { now: 6000 });
+    assert_eq!(lifecycle.phase(), Phase::Ready);
+    lifecycle.handle(Event::Tick { now: 6001 });
+    assert_eq!(lifecycle.phase(), Phase::Isolated, "not confirmed for longer than the bound");
+    lifecycle.handle(Event::Confirmed { now: 6002 });
+    lifecycle.handle(Event::Stop);
+    lifecycle.handle(Event::Confirmed { now: 6003 });
+    assert_eq!(lifecycle.phase(), Phase::Draining);
+    lifecycle.handle(Event::Drained);
+    assert_eq!(lifecycle.phase(), Phase::Stopped);
 }
 
 #[test]
@@ -304,7 +304,7 @@
     }
     let chosen: HashSet<String> =
         (0..200).map(|_| router.choose(11, &policy, &call, &mut rng).unwrap().address).collect();
-    assert_eq!(chosen.len(), 2, "half of the pool stays: {chosen:?}");
+    assert_eq!(chosen.len(), 2, "half of the pool is kept: {chosen:?}");
     assert!(chosen.contains("t3"));
     let later: HashSet<String> =
         (0..200).map(|_| router.choose(5000, &policy, &call, &mut rng).unwrap().address).collect();
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_ledger_proves_only_what_never_left() {
+fn a_ledger_does_not_close_over_a_call_that_may_have_run() {
     let ledger = Ledger::new();
     let call = ledger.begin().unwrap();
     assert!(ledger.close().is_err(), "a call is under way");
@@ -321,11 +321,11 @@
     let ledger = Ledger::new();
     let call = ledger.begin().unwrap();
     let _dropped = call;
-    assert!(ledger.close().is_err(), "dropping a call is no proof");
+    assert!(ledger.close().is_err(), "a dropped call may have run");
 }
 
 #[test]
-fn tokens_survive_a_rotation_and_nothing_else() {
+fn tokens_survive_a_key_rotation_but_no_other_key_or_change() {
     let place = Place {
         organisation: "o".into(),
         pipeline: "p".into(),
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn owners_agree_whatever_the_order_and_ids_read_back() {
+fn owners_do_not_depend_on_the_order_and_attempt_ids_parse_back() {
     let names = ["a", "b", "c"];
     assert_eq!(owner("k", names.into_iter()), owner("k", names.into_iter().rev()));
     let id = AttemptId { incarnation: "0a:b".into(), call: 9, stage: 1, attempt: 2 };
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn instances_that_share_a_prefix_meet_at_one_target_until_it_is_busy() {
+fn instances_choose_one_target_for_a_prefix_until_it_is_busy() {
     let policy = holdpoint_schema::resources::Policy {
         route: Route::Affinity,
         subset: 100,
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn prompts_without_a_common_prefix_are_spread_by_what_is_still_read() {
+fn prompts_without_a_common_prefix_are_spread_over_the_engines() {
     let policy = holdpoint_schema::resources::Policy {
         route: Route::Affinity,
         subset: 100,
@@ -442,13 +442,17 @@
         address
     };
     let at_once: HashSet<String> = (0..6).map(|it| place(10, it)).collect();
-    assert_eq!(at_once.len(), 6, "no engine reads two long prompts while another reads none");
+    assert_eq!(at_once.len(), 6, "no engine processes two long prompts while another is idle");
     let later = place(60_000, 3);
-    assert_eq!(later, place(120_000, 3), "once all is read, a prefix keeps its engine");
+    assert_eq!(
+        later,
+        place(120_000, 3),
+        "once all prompts are processed, a prefix keeps its engine"
+    );
 }
 
 #[test]
-fn a_prefix_stays_at_its_target_while_that_one_reads_another_prompt() {
+fn a_prefix_stays_at_its_target_while_that_processes_another_prompt() {
     let policy = holdpoint_schema::resources::Policy {
         route: Route::Affinity,
         subset: 100,
@@ -479,7 +483,7 @@
         address
     };
     let home = place(10);
-    assert_eq!(place(20), home, "the prefix was to be read anew elsewhere");
+    assert_eq!(place(20), home, "another target would process the prefix again");
     let burst: HashSet<String> = (0..40).map(|_| place(30)).collect();
-    assert!(1 < burst.len(), "a hot prefix has more than one target");
+    assert!(1 < burst.len(), "a frequent prefix is spread over several targets");
 }
--- a/crates/holdpoint-core/tests/near_results.rs
+++ b/crates/holdpoint-core/tests/near_results.rs
@@ -1,9 +1,9 @@
-//! Where a prompt is read, and a piece made, whose inputs lie in one failure domain.
+//! Placement of prompts and work items whose inputs lie in one failure domain.
 
 use holdpoint_core::{
     batcher::Batcher,
     cold::Share,
-    pieces::{Call as PieceCall, CallEnd, Sizes, Waiting},
+    pieces::{Call as ItemCall, CallEnd, Sizes, Waiting},
     route::{Call, End, Member, Router},
 };
 use holdpoint_schema::resources::{Policy, Route};
@@ -31,7 +31,7 @@
     let members: Vec<Member> = (0..12).map(member).collect();
     router.set_members(&members);
     for it in members {
-        // Each has shown that it reads 50 tokens in a millisecond.
+        // Each processes 50 tokens per millisecond.
         router.sent(1, &it.address, &prompt(0, &[]));
         router.ended(1, &it.address, 4000.0, End::Whole(80));
     }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_prompt_is_read_in_the_failure_domain_of_its_large_inputs() {
+fn a_prompt_goes_to_the_failure_domain_of_its_large_inputs() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for prefix in 1..40 {
         let mut router = router();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn small_inputs_leave_a_prompt_where_its_prefix_is() {
+fn small_inputs_do_not_move_a_prompt_from_its_prefix() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for prefix in 1..40 {
         let home = router().choose(10, &POLICY, &prompt(prefix, &[]), &mut rng).unwrap();
@@ -79,20 +79,20 @@
     }
 }
 
-/// A surge on one service: so many pieces a millisecond, half of them with inputs in each of two failure
-/// domains, more than its targets make. Returns pieces made, those made in another domain among them.
+/// Offers a service more work items per millisecond than its targets process, with the inputs of half of them in
+/// each of two failure domains. Returns how many items were processed, and how many of these in the other domain.
 fn surge(targets: &[(&str, &str)], per_ms: f64, ms: u64) -> (usize, usize) {
     let sizes =
         Sizes { calls: 1, pieces: 40, call_ms: 150.0, piece_ms: 1.5, room_bytes: 0, keep_ms: 4000 };
     let mut batcher = Batcher::new(sizes);
     batcher.set_targets(targets.iter().map(|it| (it.0, it.1, false)));
-    let (mut running, mut offered): (Vec<(u64, PieceCall)>, u64) = (Vec::new(), 0);
-    let (mut made, mut moved) = (0, 0);
+    let (mut running, mut offered): (Vec<(u64, ItemCall)>, u64) = (Vec::new(), 0);
+    let (mut processed, mut moved) = (0, 0);
     for now in 1000..1000 + ms {
         while (offered as f64) < (now - 1000) as f64 * per_ms {
             offered += 1;
             let due = now + 500;
-            let piece = Waiting {
+            let item = Waiting {
                 ticket: offered,
                 group: offered,
                 due,
@@ -102,7 +102,7 @@
                 near_bytes: 480_000,
                 ..Waiting::default()
             };
-            batcher.offer(now, piece);
+            batcher.offer(now, item);
         }
         for (_, call) in running.extract_if(.., |it| it.0 <= now) {
             let ms = call.sizes.stated_ms(call.pieces.len()) as u64;
@@ -110,26 +110,26 @@
         }
         while let Some(call) = batcher.next(now) {
             let domain = targets.iter().find(|it| it.0 == call.target).unwrap().1;
-            made += call.pieces.len();
+            processed += call.pieces.len();
             moved += call.pieces.iter().filter(|it| it.domain != domain).count();
             running.push((now + call.sizes.stated_ms(call.pieces.len()) as u64, call));
         }
     }
-    (made, moved)
+    (processed, moved)
 }
 
 #[test]
-fn domains_that_are_loaded_alike_exchange_little_in_a_surge() {
-    // Four targets make 0.76 pieces a millisecond, 1.0 are offered.
-    let (made, moved) = surge(&[("1", "a"), ("2", "a"), ("3", "b"), ("4", "b")], 1.0, 4000);
-    assert!(2700 < made, "{made} made, so no target stood idle");
-    assert!(moved * 20 < made, "{moved} of {made} moved");
+fn equally_loaded_domains_exchange_few_items_in_a_surge() {
+    // Four targets process 0.76 items per millisecond; 1.0 is offered.
+    let (processed, moved) = surge(&[("1", "a"), ("2", "a"), ("3", "b"), ("4", "b")], 1.0, 4000);
+    assert!(2700 < processed, "only {processed} processed: targets were idle");
+    assert!(moved * 20 < processed, "{moved} of {processed} moved");
 }
 
 #[test]
-fn a_domain_that_has_lost_targets_is_helped_by_the_other() {
-    // One target makes 0.19 of the 0.35 pieces a millisecond that lie in its domain.
-    let (made, moved) = surge(&[("1", "a"), ("2", "b"), ("3", "b"), ("4", "b")], 0.7, 4000);
-    assert!(2500 < made, "{made} made");
-    assert!(300 < moved, "{moved} of {made} moved");
+fn a_domain_that_lost_targets_sends_items_to_the_other() {
+    // One target processes 0.19 of the 0.35 items per millisecond whose inputs lie in its domain.
+    let (processed, moved) = surge(&[("1", "a"), ("2", "b"), ("3", "b"), ("4", "b")], 0.7, 4000);
+    assert!(2500 < processed, "{processed} processed");
+    assert!(300 < moved, "{moved} of {processed} moved");
 }
--- a/crates/holdpoint-core/tests/placement.rs
+++ b/crates/holdpoint-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: least numbers first, then demand; no thrashing; the weight store's rate.
+//! Placement of models on engines: minimum counts first, then demand; `hold_ms` and the weight store's rate are kept.
 
 use holdpoint_core::placement::{EngineState, Planner, is_held, order_of};
 use holdpoint_schema::resources::Placement;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn least_numbers_are_met_first_and_idle_engines_are_taken() {
+fn minimum_counts_are_met_first_with_idle_engines() {
     let mut planner = Planner::new(0);
     let engines = [engine(0, "", 0), engine(1, "b", 9), engine(2, "b", 0), engine(3, "b", 5)];
     let orders = planner.plan(60_000, &placement(600), &engines);
@@ -30,11 +30,11 @@
 }
 
 #[test]
-fn a_new_holder_draws_nothing_from_the_weight_store_at_once() {
+fn a_new_lease_holder_starts_without_credit_at_the_weight_store() {
     let mut planner = Planner::new(60_000);
     let engines = [engine(0, "", 0), engine(1, "", 0)];
     assert!(planner.plan(60_000, &placement(6), &engines).is_empty());
-    assert_eq!(planner.plan(70_000, &placement(6), &engines).len(), 1, "one in ten seconds");
+    assert_eq!(planner.plan(70_000, &placement(6), &engines).len(), 1, "one per ten seconds");
 }
 
 #[test]
@@ -61,12 +61,12 @@
             for order in planner.plan(now, &placement, &engines) {
                 let index = engines.iter().position(|it| it.address == order.address).unwrap();
                 engines[index].holds = order.holds;
-                prop_assert!(last[index].is_none_or(|it: u64| it + 1000 <= now), "one in hold_ms");
+                prop_assert!(last[index].is_none_or(|it: u64| it + 1000 <= now), "at most one order per hold_ms");
                 last[index] = Some(now);
                 given += 1;
             }
             let allowed = now as f64 * f64::from(rate) / 60_000.0;
-            prop_assert!(f64::from(given) <= allowed + 1e-9, "the weight store's rate");
+            prop_assert!(f64::from(given) <= allowed + 1e-9, "more orders than the weight store's rate allows");
         }
     }
 }
