--- a/crates/holdpoint-core/tests/promises.rs
+++ b/crates/holdpoint-core/tests/promises.rs
@@ -1,4 +1,4 @@
-//! The account of what later stages are promised, and who is admitted by it.
+//! Expected load of later stages from admitted requests, and admission by it.
 
 use holdpoint_core::{
     admission::{FirstAsk, Objective, Verdict, decide},
@@ -12,7 +12,7 @@
 const SIZES: Sizes =
     Sizes { calls: 1, pieces: 6, call_ms: 200.0, piece_ms: 20.0, room_bytes: 0, keep_ms: 4000 };
 
-/// One piece a millisecond, calls of 100 ms.
+/// Load of a service that processes one item per millisecond in calls of 100 ms.
 fn load(waiting: f64) -> StageLoad {
     let base = StageLoad { per_ms: 1.0, call_ms: 100.0, full_ms: 100.0, ..StageLoad::default() };
     StageLoad { waiting, most: 50.0, ..base }
@@ -22,7 +22,7 @@
     StageAhead { service: service.to_owned(), pieces, depth, usual_ms: 700 }
 }
 
-fn ms(promises: &Promises, now: u64, ahead: &[StageAhead]) -> f64 {
+fn expected_ms(promises: &Promises, now: u64, ahead: &[StageAhead]) -> f64 {
     promises.expect(now, 200.0, ahead).ms
 }
 
@@ -33,20 +33,20 @@
 }
 
 #[test]
-fn what_was_told_drains_until_the_pieces_come_and_what_was_promised_before_goes_first() {
+fn reported_backlog_drains_meanwhile_and_earlier_promises_are_ahead() {
     let mut promises = Promises::default();
     let ahead = [stage("second", 20, 1)];
     assert!(promises.told(1000, "second", load(500.0)));
-    // 500 less the 200 that are made meanwhile, half of its own 20, and a call.
-    assert_eq!(ms(&promises, 1000, &ahead), 200.0 + 300.0 + 10.0 + 100.0);
+    // 500 items less the 200 processed meanwhile, half of its own 20, and one call.
+    assert_eq!(expected_ms(&promises, 1000, &ahead), 200.0 + 300.0 + 10.0 + 100.0);
     let expected = promises.expect(1000, 200.0, &ahead);
     promises.promise(1000, &ahead, &expected, false);
-    assert_eq!(ms(&promises, 1000, &ahead), 200.0 + 320.0 + 10.0 + 100.0);
+    assert_eq!(expected_ms(&promises, 1000, &ahead), 200.0 + 320.0 + 10.0 + 100.0);
     assert_eq!(promises.outstanding("second"), 20.0);
 }
 
 #[test]
-fn a_word_replaces_what_was_expected_by_then_and_nothing_else() {
+fn a_report_replaces_only_the_promises_due_by_then() {
     let mut promises = Promises::default();
     let ahead = [stage("second", 20, 1)];
     promises.told(1000, "second", load(0.0));
@@ -55,53 +55,60 @@
         promises.promise(1000, &ahead, &expected, false);
     }
     promises.told(1250, "second", load(20.0));
-    assert_eq!(promises.outstanding("second"), 20.0, "the one due at 1,400 is still to come");
+    assert_eq!(
+        promises.outstanding("second"),
+        20.0,
+        "the request due at 1,400 ms has not arrived yet"
+    );
     promises.told(1500, "second", load(0.0));
     assert_eq!(promises.outstanding("second"), 0.0);
 }
 
 #[test]
-fn stages_side_by_side_take_as_long_as_the_longest_and_those_after_it_wait_for_it() {
+fn parallel_stages_take_the_longest_time_and_later_stages_wait_for_it() {
     let mut promises = Promises::default();
     promises.told(1000, "second", load(500.0));
     promises.told(1000, "other", load(0.0));
     let side_by_side = [stage("second", 0, 1), stage("other", 0, 1)];
-    assert_eq!(ms(&promises, 1000, &side_by_side), 200.0 + 300.0 + 100.0);
+    assert_eq!(expected_ms(&promises, 1000, &side_by_side), 200.0 + 300.0 + 100.0);
     let in_turn = [stage("second", 0, 1), stage("other", 0, 2)];
-    assert_eq!(ms(&promises, 1000, &in_turn), 200.0 + 300.0 + 100.0 + 100.0);
+    assert_eq!(expected_ms(&promises, 1000, &in_turn), 200.0 + 300.0 + 100.0 + 100.0);
 }
 
 #[test]
-fn a_silent_batcher_and_one_without_targets_count_with_the_usual_time() {
+fn a_silent_batcher_or_one_without_targets_counts_with_the_usual_time() {
     let mut promises = Promises::default();
     let ahead = [stage("second", 20, 1)];
-    assert_eq!(ms(&promises, 1000, &ahead), 900.0, "nothing was told yet");
+    assert_eq!(expected_ms(&promises, 1000, &ahead), 900.0, "no report yet");
     promises.told(1000, "second", load(5000.0));
-    assert!(3000.0 < ms(&promises, 1800, &ahead));
-    assert_eq!(ms(&promises, 1801, &ahead), 900.0);
+    assert!(3000.0 < expected_ms(&promises, 1800, &ahead));
+    assert_eq!(expected_ms(&promises, 1801, &ahead), 900.0);
     promises.told(2000, "second", load(5000.0));
     assert!(promises.told(2010, "second", StageLoad { per_ms: 0.0, ..load(5000.0) }));
-    assert_eq!(ms(&promises, 2010, &ahead), 900.0);
+    assert_eq!(expected_ms(&promises, 2010, &ahead), 900.0);
 }
 
 #[test]
-fn an_absurd_load_is_not_taken_in_and_the_one_before_stays() {
+fn an_invalid_load_is_ignored_and_the_previous_one_stays() {
     let mut promises = Promises::default();
     let ahead = [stage("second", 0, 1)];
     promises.told(1000, "second", load(500.0));
-    let absurd = [
+    let invalid = [
         StageLoad { per_ms: f64::NAN, ..load(0.0) },
         StageLoad { per_ms: -1.0, ..load(0.0) },
         StageLoad { waiting: f64::INFINITY, ..load(0.0) },
         StageLoad { bias_ms: -1e9, ..load(0.0) },
     ];
-    for load in absurd {
+    for load in invalid {
         assert!(!promises.told(1000, "second", load));
     }
-    assert_eq!(ms(&promises, 1000, &ahead), 600.0);
+    assert_eq!(expected_ms(&promises, 1000, &ahead), 600.0);
     let names: Vec<String> = (0..400).map(|it| format!("s{it}")).collect();
-    let taken = names.iter().filter(|it| promises.told(1000, it, load(0.0))).count();
-    assert_eq!(taken, 255, "a peer cannot make an instance keep more than 256 accounts");
+    let accepted = names.iter().filter(|it| promises.told(1000, it, load(0.0))).count();
+    assert_eq!(
+        accepted, 255,
+        "a peer cannot make an instance keep the state of more than 256 services"
+    );
 }
 
 fn ask(ahead: &[StageAhead], end: u64) -> FirstAsk<'_> {
@@ -110,7 +117,7 @@
 }
 
 #[test]
-fn a_request_is_admitted_by_its_whole_chain_late_in_what_others_leave_and_else_refused() {
+fn a_request_is_admitted_in_time_or_late_or_refused_by_its_whole_chain() {
     let (batcher, ahead) = (batcher(), [stage("second", 20, 1)]);
     let mut promises = Promises::default();
     promises.told(1000, "second", load(0.0));
@@ -123,11 +130,11 @@
     let verdict = decide(1000, &batcher, &mut promises, &ask(&ahead, 2000));
     let Verdict::Refused { by, excess, .. } = verdict else { panic!("{verdict:?}") };
     assert_eq!(by.as_deref(), Some("second"));
-    assert!((8000..8500).contains(&excess), "it would be in time so much later: {excess}");
+    assert!((8000..8500).contains(&excess), "would be in time {excess} ms later");
 }
 
 #[test]
-fn late_requests_fill_what_others_leave_and_then_no_more_are_let_in() {
+fn late_requests_are_admitted_only_up_to_the_spare_capacity() {
     let (batcher, ahead) = (batcher(), [stage("second", 500, 1)]);
     let mut promises = Promises::default();
     promises.told(1000, "second", load(1500.0));
@@ -135,32 +142,32 @@
         .map(|_| decide(1000, &batcher, &mut promises, &ask(&ahead, 2000)))
         .take_while(|it| matches!(it, Verdict::Late(_)))
         .count();
-    assert!((4..10).contains(&admitted), "3 s of work at 500 ms each: {admitted}");
+    assert!((4..10).contains(&admitted), "{admitted} admitted for 3 s of work at 500 ms each");
 }
 
 #[test]
-fn requests_refused_by_one_service_come_back_at_its_pace() {
+fn refused_requests_are_told_to_retry_at_the_pace_of_the_service() {
     let mut promises = Promises::default();
     promises.told(1000, "second", load(9000.0));
-    let returns: Vec<u64> = (0..3).map(|_| promises.return_ms(1000, "second", 400, 20)).collect();
-    assert_eq!(returns, [400, 420, 440]);
+    let delays: Vec<u64> = (0..3).map(|_| promises.return_ms(1000, "second", 400, 20)).collect();
+    assert_eq!(delays, [400, 420, 440]);
 }
 
-/// Seen in a play where a third of the targets had gone: a wait of 2.5 s was remembered as an error of the
-/// estimate, all requests were refused for it, and so nothing was measured any more.
+/// A large error of the estimate must decay without new measurements: if all requests are refused for it, none
+/// follow.
 #[test]
-fn a_long_time_that_leads_to_refusals_is_forgotten_where_nothing_is_made() {
+fn an_error_that_causes_refusals_decays_without_measurements() {
     let mut batcher = batcher();
     for turn in 0..20 {
         let now = 1000 + 3000 * turn;
-        let piece = Waiting {
+        let item = Waiting {
             ticket: turn,
             group: turn,
             due: now + 9000,
             deadline: now + 9000,
             ..Waiting::default()
         };
-        batcher.offer(now, piece);
+        batcher.offer(now, item);
         let call = batcher.next(now).expect("the target is free");
         assert!(batcher.judge(now + 2500, &call, 2500).is_some());
         batcher.ended(now + 2500, &call, CallEnd::Answered(2500), &[None]);
@@ -171,18 +178,18 @@
 }
 
 #[test]
-fn what_was_predicted_is_held_against_what_came() {
+fn the_estimate_is_corrected_by_measured_times() {
     let mut batcher = batcher();
     for turn in 0..40 {
         let now = 1000 + 350 * turn;
-        let piece = Waiting {
+        let item = Waiting {
             ticket: turn,
             group: turn,
             due: now + 900,
             deadline: now + 900,
             ..Waiting::default()
         };
-        batcher.offer(now, piece);
+        batcher.offer(now, item);
         let call = batcher.next(now).expect("the target is free");
         batcher.judge(now + 330, &call, 330);
         batcher.ended(now + 330, &call, CallEnd::Answered(330), &[None]);
@@ -193,7 +200,7 @@
 }
 
 #[test]
-fn the_stages_ahead_are_all_that_need_a_stage_with_the_longest_way_to_each() {
+fn the_stages_ahead_are_all_dependent_stages_at_their_longest_distance() {
     let after =
         |stages: &[usize]| StageStep { service: String::new(), after: stages.to_vec(), bytes: 0 };
     let steps = [after(&[]), after(&[]), after(&[1]), after(&[2, 1]), after(&[0])];
--- a/crates/holdpoint-core/tests/readers.rs
+++ b/crates/holdpoint-core/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store and who follows whom, in one region and in several.
+//! Choice of the instances that read the store and of whom the others follow, in one region and in several.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
     readers::{DomainSizes, Member, Plan, Role, plan},
 };
 
-/// A deployment whose instances are named by region and number, every fourth of them strong.
+/// A deployment with instances named by region and number; every fourth one has ten times the capacity.
 struct Fleet {
     names: Vec<(String, &'static str, Option<Millis>)>,
 }
@@ -40,7 +40,7 @@
             .collect()
     }
 
-    /// Plan of each instance, those left out that are lost.
+    /// Plan of each instance that is not lost.
     fn plans<'a>(&'a self, is_lost: impl Fn(&str) -> bool) -> Vec<(Member<'a>, Plan<'a>)> {
         let members: Vec<_> = self.members().into_iter().filter(|it| !is_lost(it.name)).collect();
         members
@@ -54,11 +54,11 @@
     name.split('-').next().unwrap()
 }
 
-fn is_across(it: &(Member<'_>, Plan<'_>)) -> bool {
+fn follows_other_region(it: &(Member<'_>, Plan<'_>)) -> bool {
     it.1.asked.first().is_some_and(|asked| region(asked) != it.0.region)
 }
 
-fn names<'a>(plans: &[(Member<'a>, Plan<'a>)], role: Role) -> Vec<&'a str> {
+fn with_role<'a>(plans: &[(Member<'a>, Plan<'a>)], role: Role) -> Vec<&'a str> {
     plans.iter().filter(|it| it.1.role == role).map(|it| it.0.name).collect()
 }
 
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn the_store_is_read_in_its_own_region_only() {
+fn only_instances_in_the_region_of_the_store_read_it() {
     let fleet = two_regions();
     let plans = fleet.plans(|_| false);
-    let readers = names(&plans, Role::Reader);
+    let readers = with_role(&plans, Role::Reader);
     assert_eq!(readers.len(), 3);
     assert!(readers.iter().all(|it| region(it) == "east"));
     for (member, plan) in &plans {
@@ -80,23 +80,23 @@
 }
 
 #[test]
-fn one_instance_of_a_far_region_asks_across_the_link() {
+fn one_instance_of_a_remote_region_follows_across_regions() {
     for count in [4, 40, 152, 800] {
         let fleet = Fleet::new(&[("east", count, Some(7)), ("north", count, Some(64))]);
         let plans = fleet.plans(|_| false);
-        let across: Vec<_> = plans.iter().filter(|it| is_across(it)).collect();
-        assert_eq!(across.len(), 1, "of {count} in each region");
-        let (head, plan) = across[0];
+        let heads: Vec<_> = plans.iter().filter(|it| follows_other_region(it)).collect();
+        assert_eq!(heads.len(), 1, "for {count} instances in each region");
+        let (head, plan) = heads[0];
         assert_eq!((head.region, plan.role), ("north", Role::Relay));
         assert!(plan.asked.iter().all(|it| plan.readers.contains(it)));
     }
 }
 
 #[test]
-fn the_standby_follows_the_head_and_takes_its_place() {
+fn the_standby_follows_the_head_and_replaces_it() {
     let fleet = two_regions();
     let plans = fleet.plans(|_| false);
-    let head = plans.iter().find(|it| is_across(it)).unwrap().0.name;
+    let head = plans.iter().find(|it| follows_other_region(it)).unwrap().0.name;
     let is_standby = |it: &&(Member<'_>, Plan<'_>)| {
         it.1.asked.first() == Some(&head) && it.1.asked.iter().any(|it| region(it) == "east")
     };
@@ -107,51 +107,56 @@
         assert_eq!(plan.asked, [head, standbys[0]], "{}", member.name);
     }
     let after = fleet.plans(|it| it == head);
-    let heirs: Vec<_> = after.iter().filter(|it| is_across(it)).map(|it| it.0.name).collect();
-    assert_eq!(heirs, standbys);
+    let successors: Vec<_> =
+        after.iter().filter(|it| follows_other_region(it)).map(|it| it.0.name).collect();
+    assert_eq!(successors, standbys);
 }
 
 #[test]
-fn whom_one_follows_leads_to_a_reader_within_three_steps() {
+fn following_leads_to_a_reader_within_three_steps() {
     let fleet = two_regions();
     for lost in ["none", "east-0", "north-0"] {
         let plans = fleet.plans(|it| it == lost);
         for (member, _) in &plans {
-            let mut at = member.name;
+            let mut current = member.name;
             for _ in 0..3 {
-                let (_, plan) = plans.iter().find(|it| it.0.name == at).unwrap();
+                let (_, plan) = plans.iter().find(|it| it.0.name == current).unwrap();
                 if plan.role != Role::Reader {
-                    at = plan.asked[0];
+                    current = plan.asked[0];
                 }
             }
-            assert!(names(&plans, Role::Reader).contains(&at), "{} ends at {at}", member.name);
+            assert!(
+                with_role(&plans, Role::Reader).contains(&current),
+                "{} ends at {current}",
+                member.name
+            );
         }
     }
 }
 
 #[test]
-fn where_the_stores_region_is_lost_the_other_one_reads() {
+fn the_other_region_reads_if_the_region_of_the_store_is_lost() {
     let fleet = two_regions();
     let plans = fleet.plans(|it| region(it) == "east");
-    assert_eq!(names(&plans, Role::Reader).len(), 3);
-    assert!(!plans.iter().any(is_across));
+    assert_eq!(with_role(&plans, Role::Reader).len(), 3);
+    assert!(!plans.iter().any(follows_other_region));
 }
 
 #[test]
-fn where_nothing_is_measured_each_region_reads_for_itself() {
-    let measured = [("east", 30, None), ("north", 30, None)];
+fn each_region_reads_the_store_itself_without_measurements() {
+    let unmeasured = [("east", 30, None), ("north", 30, None)];
     let partly = [("east", 30, Some(7)), ("north", 30, None)];
     let alike = [("east", 30, Some(12)), ("north", 30, Some(8))];
-    for regions in [measured, partly, alike] {
+    for regions in [unmeasured, partly, alike] {
         let fleet = Fleet::new(&regions);
         let plans = fleet.plans(|_| false);
-        assert_eq!(names(&plans, Role::Reader).len(), 6);
-        assert!(!plans.iter().any(is_across));
+        assert_eq!(with_role(&plans, Role::Reader).len(), 6);
+        assert!(!plans.iter().any(follows_other_region));
     }
 }
 
 #[test]
-fn no_weak_instance_is_a_source_where_there_are_strong_ones() {
+fn no_weak_instance_is_a_source_while_strong_ones_exist() {
     let fleet = two_regions();
     let plans = fleet.plans(|_| false);
     for (member, plan) in &plans {
@@ -168,7 +173,7 @@
 }
 
 #[test]
-fn followers_lose_their_patience_one_after_the_other() {
+fn followers_time_out_one_after_the_other() {
     let fleet = two_regions();
     let plans = fleet.plans(|_| false);
     let mut times: Vec<Millis> =
@@ -177,12 +182,12 @@
     let in_first_quarter = times.iter().filter(|it| **it < 190).count();
     assert!(in_first_quarter < times.len() / 3, "{in_first_quarter} of {}", times.len());
     assert!(times.iter().all(|it| *it < 1500));
-    let few = Fleet::new(&[("east", 6, Some(7))]);
-    assert!(few.plans(|_| false).iter().all(|it| it.1.patience_ms < 30));
+    let small = Fleet::new(&[("east", 6, Some(7))]);
+    assert!(small.plans(|_| false).iter().all(|it| it.1.patience_ms < 30));
 }
 
 #[test]
-fn an_instance_that_is_leaving_still_has_someone_to_ask() {
+fn a_draining_instance_still_follows_others() {
     let fleet = two_regions();
     let members = fleet.members();
     let rest: Vec<_> = members.iter().filter(|it| it.name != "north-8").copied().collect();
--- a/crates/holdpoint-core/tests/regions.rs
+++ b/crates/holdpoint-core/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Which region serves a request, and which targets a call in a region goes to.
+//! Choice of the region that serves a request, and of the targets of a call.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 use rand_chacha::ChaCha8Rng;
 
 const REGIONS: [&str; 2] = ["east", "north"];
-/// Time that a call to the other region takes longer, in milliseconds.
-const FAR_MS: f64 = 60.0;
+/// Extra time of a call to the other region, in milliseconds.
+const REMOTE_MS: f64 = 60.0;
 
 fn targets(usable: &[(&'static str, &'static str)]) -> ServiceRegions {
     ServiceRegions::new(usable.iter().copied())
@@ -25,26 +25,26 @@
 }
 
 #[test]
-fn the_own_region_serves_what_it_has_all_targets_for() {
+fn the_own_region_serves_if_it_has_targets_of_all_services() {
     let both = [("a", "east"), ("b", "east"), ("a", "north"), ("b", "north")];
     assert_eq!(home(&targets(&both), &["a", "b"], &REGIONS), Some("east"));
 }
 
 #[test]
-fn a_chain_is_not_split_where_another_region_has_all_of_it() {
+fn a_chain_is_not_split_if_another_region_has_all_services() {
     let no_b = targets(&[("a", "east"), ("a", "north"), ("b", "north")]);
     assert_eq!(home(&no_b, &["a", "b"], &REGIONS), Some("north"));
     assert_eq!(home(&no_b, &["a"], &REGIONS), Some("east"));
 }
 
 #[test]
-fn a_region_without_instances_serves_nothing_for_others() {
+fn a_region_without_live_instances_is_not_chosen() {
     let no_b = targets(&[("a", "east"), ("a", "north"), ("b", "north")]);
     assert_eq!(home(&no_b, &["a", "b"], &["east"]), None);
 }
 
 #[test]
-fn no_region_serves_what_none_has_whole() {
+fn no_region_is_chosen_if_none_has_all_services() {
     let apart = targets(&[("a", "east"), ("b", "north")]);
     assert_eq!(home(&apart, &["a", "b"], &REGIONS), None);
     assert_eq!(home(&targets(&[]), &["a"], &REGIONS), None);
@@ -82,9 +82,9 @@
     Member { address: address.into(), domain: domain.into(), leaving: false, held: false }
 }
 
-/// A router in the east that knows some targets, each by its address and domain.
+/// A router in the east with targets given by address and failure domain.
 fn router(members: &[(&str, &str)]) -> Router {
-    let mut router = Router::new("i", "e", policy()).with_topology(split(), FAR_MS);
+    let mut router = Router::new("i", "e", policy()).with_topology(split(), REMOTE_MS);
     router.set_members(&members.iter().map(|it| member(it.0, it.1)).collect::<Vec<_>>());
     router
 }
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_prompt_stays_in_its_region_whatever_its_load_as_long_as_a_target_is_left_there() {
+fn a_prompt_stays_in_its_region_under_load_while_a_target_is_left() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut router = router(&[("e1", "e"), ("n1", "n"), ("n2", "n")]);
     for now in 0..50 {
@@ -123,14 +123,14 @@
     assert!(choice.unwrap().address.starts_with('n'));
     let tried = ["e1".to_owned()];
     let choice = router.choose_in(50, &policy(), &prompt(&tried), Some("east"), &mut rng);
-    assert!(choice.unwrap().address.starts_with('n'), "none is left in the east");
+    assert!(choice.unwrap().address.starts_with('n'), "no target is left in the east");
 }
 
 #[test]
-fn a_plain_call_stays_near_until_the_wait_there_is_longer_than_the_way() {
+fn a_plain_call_stays_local_until_the_wait_exceeds_the_extra_time() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut router = router(&[("e1", "e"), ("n1", "n")]);
-    // Each takes 30 ms for one call at a time; the answer of the far one is 60 ms on its way.
+    // Each takes 30 ms per call, one at a time; the remote one needs 60 ms more.
     for now in (0..2000).step_by(100) {
         for (target, ms) in [("e1", 30), ("n1", 90)] {
             router.sent(now, target, &plain());
@@ -145,14 +145,14 @@
         router.sent(2000, &choice.address, &plain());
         chosen.push(choice.address);
     }
-    assert_eq!(chosen[..2], ["e1", "e1"], "the near one is idle or nearly so");
-    assert!(chosen.contains(&"n1".to_owned()), "a long wait costs more than the way");
+    assert_eq!(chosen[..2], ["e1", "e1"], "the local target is idle or nearly idle");
+    assert!(chosen.contains(&"n1".to_owned()), "a long wait costs more than the extra time");
 }
 
 #[test]
-fn with_one_region_the_distance_counts_for_nothing() {
+fn with_one_region_the_extra_time_is_ignored() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut router = Router::new("i", "e", policy()).with_topology(Topology::default(), FAR_MS);
+    let mut router = Router::new("i", "e", policy()).with_topology(Topology::default(), REMOTE_MS);
     router.set_members(&[member("e1", "e"), member("n1", "n")]);
     let tried = [];
     for now in 0..20 {
--- a/crates/holdpoint-core/tests/spill.rs
+++ b/crates/holdpoint-core/tests/spill.rs
@@ -1,5 +1,5 @@
-//! Laws of spill between regions: whatever is asked, lost and repeated, no place is lent twice, and
-//! every lease ends by itself.
+//! Spill between regions: for any sequence of exchanges and losses no place is lent twice, and every lease
+//! expires.
 
 use holdpoint_core::{
     ingress::StageStep,
@@ -10,14 +10,14 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The borrower asks for so many places, of so many spare; the way there takes so long, the way
-    /// back so long, and the answer may be lost.
+    /// The borrower asks for `wanted` places of `spare`. The request takes `there_ms`; the answer takes `back_ms` or
+    /// is lost.
     Exchange { wanted: u32, spare: u32, there_ms: u64, back_ms: u64, is_lost: bool },
-    /// A request takes so many places.
+    /// A request takes this many places.
     Take(u32),
-    /// Time passes.
+    /// This many milliseconds pass.
     Pass(u64),
-    /// The borrower is lost, and another one takes its place.
+    /// The borrower crashes and is replaced by another one.
     LoseBorrower,
 }
 
@@ -33,30 +33,30 @@
     ]
 }
 
-/// A lease on its way back: when it arrives, when it was asked for, what it says.
-type OnItsWay = (u64, u64, Lease);
+/// A lease in transit: time of arrival, time of the request, the lease.
+type InTransit = (u64, u64, Lease);
 
 proptest! {
-    /// At any time the places that borrowers can still use are among those that the lender counts as
-    /// lent, and the lender never lends more at a time than it has spare.
+    /// At any time the lender counts as lent at least the places that borrowers can still use, and it lends no more
+    /// than it has spare.
     #[test]
-    fn no_place_is_lent_twice_and_leases_end_by_themselves(
+    fn no_place_is_lent_twice_and_leases_expire(
         steps in prop::collection::vec(step(), 1..200)
     ) {
         let mut now = 10_000;
         let (mut lender, mut borrower) = (Lender::default(), Borrower::default());
-        let mut on_its_way: Vec<OnItsWay> = Vec::new();
+        let mut in_transit: Vec<InTransit> = Vec::new();
         for step in steps {
             match step {
                 Step::Exchange { wanted, spare, there_ms, back_ms, is_lost } => {
-                    let asked_at = now;
+                    let requested_at = now;
                     now += there_ms;
                     let before = lender.lent(now);
                     let lease = lender.lend(now, spare, wanted, 200);
                     prop_assert!(lease.places <= wanted);
                     prop_assert!(before + lease.places <= spare.max(before));
                     if !is_lost {
-                        on_its_way.push((now + back_ms, asked_at, lease));
+                        in_transit.push((now + back_ms, requested_at, lease));
                     }
                 }
                 Step::Take(places) => {
@@ -68,8 +68,8 @@
                 Step::Pass(ms) => now += ms,
                 Step::LoseBorrower => borrower = Borrower::default(),
             }
-            let arrived: Vec<OnItsWay> =
-                on_its_way.extract_if(.., |it| it.0 <= now).collect();
+            let arrived: Vec<InTransit> =
+                in_transit.extract_if(.., |it| it.0 <= now).collect();
             arrived.into_iter().for_each(|it| borrower.receive(it.1, it.2));
             prop_assert!(borrower.left(now) <= lender.lent(now));
         }
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_lease_that_arrives_after_its_time_is_of_no_use() {
+fn an_expired_lease_cannot_be_used() {
     let mut borrower = Borrower::default();
     borrower.receive(1000, Lease { places: 5, for_ms: LEASE_MS, usual_ms: 200 });
     assert_eq!(borrower.left(1000 + LEASE_MS - 1), 5);
@@ -87,19 +87,19 @@
 }
 
 #[test]
-fn a_lender_that_states_an_endless_lease_is_not_believed() {
+fn the_length_of_a_lease_is_bounded() {
     let mut borrower = Borrower::default();
     borrower.receive(1000, Lease { places: 5, for_ms: u64::MAX, usual_ms: 200 });
     assert_eq!(borrower.left(1000 + LEASE_MS), 0);
 }
 
 #[test]
-fn what_was_wanted_is_asked_for_once_and_forgotten_soon() {
+fn unmet_demand_is_asked_for_once_and_expires() {
     let mut borrower = Borrower::default();
     assert_eq!(borrower.take(1000, 3), None);
     assert_eq!(borrower.take(1100, 4), None);
     assert_eq!(borrower.wanted(1150), 7);
-    assert_eq!(borrower.wanted(2000), 0, "nobody waits for it any more");
+    assert_eq!(borrower.wanted(2000), 0, "no request waits for it any more");
     assert_eq!(borrower.take(2000, 2), None);
     borrower.receive(2000, Lease { places: 2, for_ms: LEASE_MS, usual_ms: 150 });
     assert_eq!(borrower.wanted(2000), 0);
@@ -107,12 +107,12 @@
 }
 
 #[test]
-fn a_request_leaves_its_region_only_to_be_in_time() {
+fn a_request_spills_only_if_it_meets_its_deadline_there() {
     let prospect = |left_ms, here_ms, there_ms| Prospect { left_ms, here_ms, there_ms };
     assert!(prospect(1000, 1500, 800).is_worth_it());
-    assert!(!prospect(1000, 900, 500).is_worth_it(), "it is in time here");
-    assert!(!prospect(1000, 1500, 1100).is_worth_it(), "it is late there too");
-    assert!(!prospect(1000, 1050, 1000).is_worth_it(), "it gains too little");
+    assert!(!prospect(1000, 900, 500).is_worth_it(), "in time here");
+    assert!(!prospect(1000, 1500, 1100).is_worth_it(), "late there too");
+    assert!(!prospect(1000, 1050, 1000).is_worth_it(), "gains too little");
 }
 
 #[test]
@@ -127,9 +127,9 @@
 }
 
 proptest! {
-    /// The users of a link together send no more than their share of it and what they saved up.
+    /// All users of a link together send no more than their share of it and their saved credit.
     #[test]
-    fn the_share_of_a_link_is_kept_by_all_its_users(
+    fn all_users_of_a_link_stay_within_their_share(
         sends in prop::collection::vec((0..6_usize, 0..40_u64, 1..60_000_u64), 1..300)
     ) {
         let (users, mbps, share) = (6, 60.0, 0.25);
@@ -141,13 +141,13 @@
                 sent += bytes;
             }
             let most = (now + 1000) as f64 * mbps * 125.0 * share;
-            prop_assert!(sent as f64 <= most + 1.0, "{} of {}", sent, most);
+            prop_assert!(sent as f64 <= most + 1.0, "{} bytes sent, {} allowed", sent, most);
         }
     }
 }
 
 #[test]
-fn a_link_of_unstated_bandwidth_is_not_limited() {
+fn a_link_with_unstated_bandwidth_is_not_limited() {
     let mut budget = LinkBudget::new(0.0, 0.25, 10);
     assert!((0..1000).all(|it| budget.spend(it, 1 << 30)));
 }
--- a/crates/holdpoint-core/tests/told_pace.rs
+++ b/crates/holdpoint-core/tests/told_pace.rs
@@ -1,5 +1,5 @@
-//! Targets that share their machines tell with each answer how long work takes at that moment: the load pattern
-//! is a figure that changes many times a second, between answers that come a few times a second.
+//! Pace reported by targets on shared machines: it changes many times a second, while answers that report it come a
+//! few times a second.
 
 use holdpoint_core::{
     batcher::Batcher,
@@ -13,13 +13,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn told(pace_percent: u32) -> Load {
+fn with_pace(pace_percent: u32) -> Load {
     Load { pace_percent: Some(pace_percent), ..Load::default() }
 }
 
-/// Mean error of three predictions of how long the next call takes, in a replay of 200 s: by the last figure,
-/// by the mean that ages, and by the usual pace. The figure wanders round a level that itself changes every
-/// few seconds; a call takes the mean of what it meets.
+/// Summed errors of three predictions of the next call's duration in a simulation of 200 s: by the last figure, by
+/// the decaying mean, and by the usual pace. The figure varies around a level that changes every 3 s; a call takes
+/// the mean over its duration.
 fn errors(seed: u64) -> [f64; 3] {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut level = 100.0;
@@ -33,7 +33,7 @@
         .collect();
     let (mut pace, mut last) = (ToldPace::default(), 100.0);
     let mut errors = [0.0; 3];
-    // A tick is 10 ms, a call takes 30 of them, and is answered every 40.
+    // A tick is 10 ms. A call takes 30 ticks, and one is answered every 40 ticks.
     for end in (40..figures.len() - 40).step_by(40) {
         let now = 10 * end as u64;
         last = figures[end];
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_mean_that_ages_predicts_better_than_the_last_figure_and_than_none() {
+fn the_decaying_mean_predicts_better_than_the_last_figure_or_none() {
     for seed in 1..6 {
         let [by_last, by_mean, by_none] = errors(seed);
         assert!(by_mean < by_last, "seed {seed}: {by_mean:.0} {by_last:.0}");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_was_told_fades_into_the_usual_pace() {
+fn a_reported_pace_decays_to_the_usual_pace() {
     let mut pace = ToldPace::default();
     assert_eq!(pace.factor(0), 1.0);
     pace.told(1000, 300);
@@ -65,16 +65,16 @@
     assert!(pace.factor(2000) < 2.1);
     assert!(pace.factor(20_000) < 1.01 && !pace.is_slow(20_000));
     pace.told(30_000, u32::MAX);
-    assert!(pace.factor(30_000) <= 10.0, "absurd figures are bounded");
+    assert!(pace.factor(30_000) <= 10.0, "extreme figures are bounded");
 }
 
 fn policy() -> Policy {
     Policy { route: Route::LeastLoaded, ..default_policy() }
 }
 
-/// A slow figure is not a failing target: it is chosen less, and comes back as the figure does.
+/// A target that reports a slow pace is not ejected: it is chosen less, until the report decays.
 #[test]
-fn a_target_that_tells_that_it_is_slow_is_chosen_less_and_not_taken_out() {
+fn a_target_that_reports_a_slow_pace_is_chosen_less_but_not_ejected() {
     let policy = Policy { route: Route::Predicted, ..policy() };
     let member =
         |name: &str| Member { address: name.into(), domain: "d".into(), ..Member::default() };
@@ -104,20 +104,20 @@
         chosen.filter(|it| it == "a").count()
     };
     assert!((30..70).contains(&count(&mut router, 500)));
-    router.report(500, "a", told(400));
+    router.report(500, "a", with_pace(400));
     assert_eq!(count(&mut router, 500), 0);
     assert!(router.is_slow(500, "a") && router.ejected(500).is_empty());
-    assert!((20..80).contains(&count(&mut router, 60_000)), "it counts as usual again");
+    assert!((20..80).contains(&count(&mut router, 60_000)), "the report has decayed");
 }
 
-/// A call goes to the target that works at its usual pace, and what it is given there grows with the figure.
+/// A call goes to the target at its usual pace, and the timeout of a call grows with the reported pace.
 #[test]
-fn a_stage_call_goes_to_the_faster_target_and_a_slow_one_gets_its_time() {
+fn a_stage_call_goes_to_the_faster_target_and_a_slow_one_gets_a_longer_timeout() {
     let sizes =
         Sizes { calls: 1, pieces: 6, call_ms: 200.0, piece_ms: 20.0, room_bytes: 0, keep_ms: 4000 };
     let mut batcher = Batcher::new(sizes);
     batcher.set_targets([("a", "d", false), ("b", "d", false)].into_iter());
-    batcher.told_load(0, "b", told(300), 1);
+    batcher.told_load(0, "b", with_pace(300), 1);
     batcher
         .offer(0, Waiting { ticket: 1, group: 1, due: 5000, deadline: 9000, ..Waiting::default() });
     let usual = batcher.patience_ms(0, "a", 1);
--- a/crates/holdpoint-core/tests/topology.rs
+++ b/crates/holdpoint-core/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Which failure domains are near.
+//! Choice of the failure domains that count as near.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn only_domains_of_the_own_region_are_near_where_there_are_several() {
+fn only_domains_of_the_own_region_are_near_with_several_regions() {
     let split = Topology::new("east", regions(&[("a", "east"), ("b", "north")]));
     assert!(split.is_split());
     assert!(split.is_near("a"));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn all_domains_are_near_where_regions_say_nothing() {
+fn all_domains_are_near_without_several_known_regions() {
     let one = Topology::new("east", regions(&[("a", "east"), ("b", "east")]));
     let unstated = Topology::new("", regions(&[("a", "east"), ("b", "north")]));
     for it in [one, unstated, Topology::default()] {
