--- a/crates/holdpoint-core/tests/ingress.rs
+++ b/crates/holdpoint-core/tests/ingress.rs
@@ -112,8 +112,8 @@
     assert_eq!(directory.put(0, TargetInstance { slots: 4, ..entry(4, false) }), Change::Altered);
 }
 
-/// A restarted target counts its entries from one again: its new incarnation must not be ignored as older, nor
-/// keep the address or the drain notice of the previous one.
+/// A restarted target numbers its entries from one again: its new incarnation must not be ignored as older, and the
+/// address and the drain notice of the previous one must not be kept.
 #[test]
 fn a_restarted_target_replaces_its_previous_incarnation() {
     let incarnation = |born, sequence, address: &str| TargetInstance {
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn a_lapsed_entry_is_kept_for_a_while_and_comes_back() {
+fn a_lapsed_entry_is_kept_until_it_expires_or_returns() {
     let named = |id: &str, sequence| TargetInstance { id: id.into(), ..entry(sequence, false) };
     let mut directory = Directory::default();
     let whole = |directory: &Directory| {
--- a/crates/holdpoint-core/tests/limit_worlds.rs
+++ b/crates/holdpoint-core/tests/limit_worlds.rs
@@ -43,7 +43,7 @@
     },
     Update {
         to: usize,
-        news: LimitNews,
+        update: LimitNews,
     },
     /// An instance learns who owns the rate-limit state, and how certain that is.
     View {
@@ -84,7 +84,7 @@
     next: u64,
     /// The limits that the target has stated, in order.
     named: Vec<TargetLimit>,
-    /// Arrivals at the target; whether an answer had told the sender of a limit at least [`SETTLE_MS`] before.
+    /// Arrivals at the target; whether an answer reported a limit to the sender at least [`SETTLE_MS`] before.
     arrivals: Vec<(Millis, bool)>,
 }
 
@@ -209,16 +209,16 @@
 
     /// Sends an update on a change to the instances concerned.
     fn send_update(&mut self, at: usize, change: Change) {
-        let Some(news) = self.instances[at].limits.news(self.now, TARGET.0) else { return };
+        let Some(update) = self.instances[at].limits.news(self.now, TARGET.0) else { return };
         let owner = self.instances[at].owner;
         if owner != at && change != Change::Nothing {
             let in_ms = self.transit_ms();
-            self.post(in_ms, Message::Update { to: owner, news });
+            self.post(in_ms, Message::Update { to: owner, update });
         } else if matches!(change, Change::Began | Change::Ended) {
             for to in (0..self.instances.len()).filter(|it| *it != at) {
                 if self.reaches(at, to) {
                     let in_ms = 200 + self.transit_ms();
-                    self.post(in_ms, Message::Update { to, news: news.clone() });
+                    self.post(in_ms, Message::Update { to, update: update.clone() });
                 }
             }
         }
@@ -253,9 +253,9 @@
                 );
                 self.send_update(to, change);
             }
-            Message::Update { to, news } if !is_lost(self, to) => {
+            Message::Update { to, update } if !is_lost(self, to) => {
                 let limits = &mut self.instances[to].limits;
-                let change = limits.learn(news.made(now), TARGET, news.per_s);
+                let change = limits.learn(update.made(now), TARGET, update.per_s);
                 if self.instances[to].owner == to {
                     self.send_update(to, change);
                 }
@@ -331,7 +331,7 @@
     }
 
     /// Asserts that no window has more than 1.5 times the allowed requests plus 5, counting either all requests or
-    /// only those of instances that an answer had told of a limit.
+    /// only those of instances to which an answer had reported a limit.
     fn assert_limit_kept(&self, counts_all: bool, what: &str) {
         let Some(since) = self.named.iter().find_map(|it| it.reported_at) else { return };
         let counted = self.arrivals.iter().filter(|it| counts_all || it.1);
--- a/crates/holdpoint-core/tests/rollout.rs
+++ b/crates/holdpoint-core/tests/rollout.rs
@@ -53,10 +53,10 @@
 fn an_order_from_a_peer_keeps_its_remaining_time() {
     let mut known = Orders::default();
     known.advance(0, Orders::new(1000, at(4), &[ordered(2, "s", "v2")]));
-    let told = known.told(6000);
+    let reported = known.told(6000);
     // The peer's clock has another origin; later it reads the store, which has no age of the order.
     let mut other = Orders::default();
-    other.advance(0, told.taken(90_000));
+    other.advance(0, reported.taken(90_000));
     assert_eq!(other.get("s").unwrap().until, 97_000);
     other.advance(0, Orders::new(91_000, at(9), &[ordered(2, "s", "v2")]));
     assert_eq!(other.get("s").unwrap().until, 97_000, "the earlier end applies");
--- a/crates/holdpoint-core/tests/target_limits.rs
+++ b/crates/holdpoint-core/tests/target_limits.rs
@@ -219,7 +219,7 @@
         let sent = admitted(&mut owners, keeping, 10_000, 50_000);
         assert!(sent <= 40 * 3 + sides, "{sides}: {sent}");
     }
-    // An instance that does not reach one other may itself be the isolated one.
+    // Another instance may own the limit too: at most half of it is admitted.
     let unsure = Keeping::Unsure { reached: 7, of: 8 };
     assert!(admitted(&mut [owned(3.0)], unsure, 10_000, 50_000) <= 40 * 3 / 2 + 1);
 }
@@ -233,14 +233,14 @@
         it.learn(made(1000), TARGET, Some(0.0));
     }
     owner.learn(made(2000), TARGET, None);
-    let update = |asker: &TargetLimits, now| asker.news(now, TARGET.0).unwrap();
+    let update_of = |asker: &TargetLimits, now| asker.news(now, TARGET.0).unwrap();
     // While the owner remembers the end, an older update is ignored.
-    let news = update(&asker, 30_000);
-    assert_eq!(owner.learn(news.made(30_000), TARGET, news.per_s), Change::Nothing);
+    let update = update_of(&asker, 30_000);
+    assert_eq!(owner.learn(update.made(30_000), TARGET, update.per_s), Change::Nothing);
     owner.forget(90_000, |_| true);
-    let news = update(&asker, 90_000);
-    assert!(owner.is_stale(&news));
+    let update = update_of(&asker, 90_000);
+    assert!(owner.is_stale(&update));
     // A new limit is accepted.
     asker.learn(made(89_000), TARGET, Some(0.0));
-    assert!(!owner.is_stale(&update(&asker, 90_000)));
+    assert!(!owner.is_stale(&update_of(&asker, 90_000)));
 }
