--- a/crates/holdpointd/src/control/changes.rs
+++ b/crates/holdpointd/src/control/changes.rs
@@ -1,4 +1,4 @@
-//! Changes that operators make: their way into the log, and how far each has come.
+//! Changes by operators: appends them to the log and reports their status to the waiting calls.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -20,19 +20,20 @@
     shared::Shared,
 };
 
-struct Pending {
+struct PendingCall {
     change: String,
     reply: oneshot::Sender<ChangeStatus>,
-    until: Millis,
+    deadline: Millis,
 }
 
-/// Appends to the control stream, one at a time, and the operators who wait for them.
+/// Queue of appends to the control stream, made one at a time, and the operator calls that wait for a
+/// result.
 pub(crate) struct Changes {
     shared: Arc<Shared>,
     queue: VecDeque<Body>,
     seq: u64,
     is_appending: bool,
-    pending: Vec<Pending>,
+    pending: Vec<PendingCall>,
 }
 
 impl Changes {
@@ -41,7 +42,7 @@
         Changes { shared, queue, seq: 0, is_appending: false, pending }
     }
 
-    /// Takes a change on its way. One that is known already, by its id, is not appended again.
+    /// Submits a change. A change whose id is already queued or in the log is not appended again.
     pub(crate) fn submit(
         &mut self,
         change: Change,
@@ -50,11 +51,11 @@
         view: &View,
     ) {
         let now = self.shared.clock.now();
-        let until = now + self.shared.settings.timing.change_wait_ms;
+        let deadline = now + self.shared.settings.timing.change_wait_ms;
         let id = change.change.clone();
         let is_queued = self.pending.iter().any(|it| it.change == id)
             || self.queue.iter().any(|it| matches!(it, Body::Change(it) if it.change == id));
-        self.pending.push(Pending { change: id.clone(), reply, until });
+        self.pending.push(PendingCall { change: id.clone(), reply, deadline });
         if state.verdict(&id).is_none() && !is_queued {
             self.append(Body::Change(change));
         }
@@ -64,22 +65,22 @@
     /// Queues a record for the control stream.
     pub(crate) fn append(&mut self, body: Body) {
         self.queue.push_back(body);
-        self.pump();
+        self.append_next();
     }
 
-    /// Goes on after an append has landed.
+    /// Starts the next append after one has succeeded.
     pub(crate) fn appended(&mut self, _offset: Offset) {
         self.is_appending = false;
         self.queue.pop_front();
-        self.pump();
+        self.append_next();
     }
 
-    /// Answers the operators whose change has come to its end or who have waited long enough.
+    /// Answers calls whose change has a final status or whose deadline has passed.
     pub(crate) fn tick(&mut self, now: Millis, state: &State, view: &View) {
         for pending in std::mem::take(&mut self.pending) {
             let status = status(&pending.change, state, view);
             let is_final = matches!(status.state, ChangeState::Accepted | ChangeState::Conflict);
-            if !is_final && now < pending.until {
+            if !is_final && now < pending.deadline {
                 self.pending.push(pending);
                 continue;
             }
@@ -91,7 +92,7 @@
         }
     }
 
-    fn pump(&mut self) {
+    fn append_next(&mut self) {
         if self.is_appending {
             return;
         }
@@ -102,13 +103,13 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             let offset = tail::append(&shared, tail::CONTROL, &record).await;
-            // The control thread is gone only when the process stops.
+            // Fails only if the control thread has stopped.
             drop(shared.control.send(Input::Appended { offset }).await);
         });
     }
 }
 
-/// How far a change has come, as this instance knows it.
+/// Status of a change as known to this instance.
 pub(crate) fn status(change: &str, state: &State, view: &View) -> ChangeStatus {
     let (change, mut missing) = (change.to_owned(), Vec::new());
     let Some(verdict) = state.verdict(&change) else {
@@ -123,7 +124,7 @@
     ChangeStatus { change, state, version: Some(verdict.version), missing }
 }
 
-/// How long an operator's call waits at the most.
+/// Time limit for an operator's call; longer than the control thread takes to answer by itself.
 pub(crate) fn wait_limit(shared: &Shared) -> Duration {
     Duration::from_millis(shared.settings.timing.change_wait_ms + 1000)
 }
--- a/crates/holdpointd/src/control/claim_stream.rs
+++ b/crates/holdpointd/src/control/claim_stream.rs
@@ -1,4 +1,5 @@
-//! One claim stream: its table, its group commit, and the calls that wait for it.
+//! One claim stream: folds its records into a table, appends entries by group commit, and answers calls
+//! once the state of their key is final.
 
 use std::sync::Arc;
 
@@ -21,35 +22,35 @@
     shared::Shared,
 };
 
-/// An entry on its way into the log, and who wants to know that it has landed.
-struct Item {
+/// An entry to be appended, and the call to answer once it is in the log.
+struct QueuedEntry {
     entry: ClaimEntry,
     reply: Option<oneshot::Sender<bool>>,
 }
 
-/// A call that waits to learn how its key stands.
-struct Wait {
+/// A call that waits for the state of its key.
+struct PendingAsk {
     key: ClaimKey,
     body_hash: String,
-    asker: Claimant,
+    requester: Claimant,
     reply: oneshot::Sender<ClaimReply>,
-    until: Millis,
-    is_pushed: bool,
-    held_since: Option<Millis>,
-    is_ending: bool,
+    deadline: Millis,
+    is_queued: bool,
+    first_held: Option<Millis>,
+    is_outcome_queued: bool,
 }
 
 pub(crate) struct ClaimStream {
     shared: Arc<Shared>,
     index: u32,
     table: ClaimTable,
-    batcher: Batcher<Item>,
-    landing: Vec<oneshot::Sender<bool>>,
-    waits: Vec<Wait>,
-    /// Whether all records that the log held when this stream was first followed are folded in.
-    is_current: bool,
+    batcher: Batcher<QueuedEntry>,
+    append_replies: Vec<oneshot::Sender<bool>>,
+    pending_asks: Vec<PendingAsk>,
+    /// Whether the table contains all records up to the head of the stream when it was first followed.
+    is_caught_up: bool,
     seq: u64,
-    used: Millis,
+    last_used: Millis,
     tail: JoinHandle<()>,
 }
 
@@ -57,17 +58,17 @@
     pub(crate) fn new(shared: Arc<Shared>, index: u32) -> ClaimStream {
         let settings = &shared.settings;
         let (streams, rate) = (settings.claims.streams, settings.claims.appends_per_second);
-        let interval = Batcher::<Item>::interval(streams, rate);
+        let interval = Batcher::<QueuedEntry>::interval(streams, rate);
         ClaimStream {
             index,
             table: ClaimTable::new(settings.timing.claim_window_ms),
             batcher: Batcher::new(interval, settings.claims.batch as usize),
-            landing: Vec::new(),
-            waits: Vec::new(),
-            is_current: false,
+            append_replies: Vec::new(),
+            pending_asks: Vec::new(),
+            is_caught_up: false,
             seq: 0,
-            used: shared.clock.now(),
-            tail: tokio::spawn(tail::claims(shared.clone(), index)),
+            last_used: shared.clock.now(),
+            tail: tokio::spawn(tail::follow_claims(shared.clone(), index)),
             shared,
         }
     }
@@ -80,26 +81,26 @@
         view: &View,
     ) {
         let now = self.shared.clock.now();
-        self.used = now;
-        let wait = Wait {
+        self.last_used = now;
+        let pending = PendingAsk {
             key,
             body_hash: ask.body_hash,
-            asker: Claimant { incarnation: ask.claimant, call: ask.call },
+            requester: Claimant { incarnation: ask.claimant, call: ask.call },
             reply,
-            until: now + ask.patience_ms,
-            is_pushed: false,
-            held_since: None,
-            is_ending: false,
+            deadline: now + ask.patience_ms,
+            is_queued: false,
+            first_held: None,
+            is_outcome_queued: false,
         };
-        self.waits.push(wait);
-        self.review(now, view);
-        self.pump(now);
+        self.pending_asks.push(pending);
+        self.answer_pending(now, view);
+        self.append_next(now);
     }
 
     pub(crate) fn push(&mut self, entry: ClaimEntry, reply: Option<oneshot::Sender<bool>>) {
-        self.used = self.shared.clock.now();
-        self.batcher.push(Item { entry, reply });
-        self.pump(self.used);
+        self.last_used = self.shared.clock.now();
+        self.batcher.push(QueuedEntry { entry, reply });
+        self.append_next(self.last_used);
     }
 
     pub(crate) fn records(&mut self, batch: &Batch, view: &View) {
@@ -109,20 +110,20 @@
                 _ => self.table.skip(read.offset),
             }
         }
-        self.is_current |= batch.next <= self.table.offset() + 1 || batch.records.is_empty();
+        self.is_caught_up |= batch.next <= self.table.offset() + 1 || batch.records.is_empty();
         let now = self.shared.clock.now();
-        self.review(now, view);
-        self.pump(now);
+        self.answer_pending(now, view);
+        self.append_next(now);
     }
 
-    pub(crate) fn landed(&mut self, _offset: Offset, view: &View) {
-        for reply in self.landing.drain(..) {
+    pub(crate) fn appended(&mut self, _offset: Offset, view: &View) {
+        for reply in self.append_replies.drain(..) {
             let _ = reply.send(true);
         }
         self.batcher.landed();
         let now = self.shared.clock.now();
-        self.review(now, view);
-        self.pump(now);
+        self.answer_pending(now, view);
+        self.append_next(now);
     }
 
     pub(crate) fn due(&self) -> Option<Millis> {
@@ -130,84 +131,98 @@
     }
 
     pub(crate) fn tick(&mut self, now: Millis, view: &View) {
-        self.review(now, view);
-        self.pump(now);
+        self.answer_pending(now, view);
+        self.append_next(now);
     }
 
     pub(crate) fn is_idle(&self, now: Millis, idle_ms: Millis) -> bool {
-        let is_quiet = self.waits.is_empty() && self.batcher.is_empty() && self.landing.is_empty();
-        is_quiet && self.batcher.is_settled() && self.used + idle_ms < now
+        let is_quiet = self.pending_asks.is_empty()
+            && self.batcher.is_empty()
+            && self.append_replies.is_empty();
+        is_quiet && self.batcher.is_settled() && self.last_used + idle_ms < now
     }
 
-    /// Answers the calls whose key has a final standing or whose patience is over.
-    fn review(&mut self, now: Millis, view: &View) {
-        for wait in std::mem::take(&mut self.waits) {
-            if wait.reply.is_closed() {
+    /// Answers calls whose key has a final state or whose deadline has passed.
+    fn answer_pending(&mut self, now: Millis, view: &View) {
+        for pending in std::mem::take(&mut self.pending_asks) {
+            if pending.reply.is_closed() {
                 continue;
             }
-            if let Some(wait) = self.review_one(wait, now, view) {
-                self.waits.push(wait);
+            if let Some(pending) = self.check_pending(pending, now, view) {
+                self.pending_asks.push(pending);
             }
         }
     }
 
-    fn review_one(&mut self, mut wait: Wait, now: Millis, view: &View) -> Option<Wait> {
-        let is_over = wait.until <= now;
-        if !self.is_current {
-            return keep_or(wait, is_over, ClaimReply::Silent);
+    fn check_pending(
+        &mut self,
+        mut pending: PendingAsk,
+        now: Millis,
+        view: &View,
+    ) -> Option<PendingAsk> {
+        let is_expired = pending.deadline <= now;
+        if !self.is_caught_up {
+            return answer_if_expired(pending, is_expired, ClaimReply::Silent);
         }
-        match self.table.standing(&wait.key, &wait.body_hash, &wait.asker) {
-            Standing::Won(offset) => answer(wait, ClaimReply::Won(offset)),
-            Standing::Done(it) => answer(wait, ClaimReply::Done(it)),
-            Standing::Unknown => answer(wait, ClaimReply::Unknown),
-            Standing::Mismatch => answer(wait, ClaimReply::Mismatch),
+        match self.table.standing(&pending.key, &pending.body_hash, &pending.requester) {
+            Standing::Won(offset) => answer(pending, ClaimReply::Won(offset)),
+            Standing::Done(it) => answer(pending, ClaimReply::Done(it)),
+            Standing::Unknown => answer(pending, ClaimReply::Unknown),
+            Standing::Mismatch => answer(pending, ClaimReply::Mismatch),
             Standing::Free => {
-                if !wait.is_pushed && !is_over {
-                    let step = ClaimStep::Claim(ClaimBody { body_hash: wait.body_hash.clone() });
-                    self.batcher.push(entry(&wait, &wait.asker, step));
-                    wait.is_pushed = true;
+                if !pending.is_queued && !is_expired {
+                    let step = ClaimStep::Claim(ClaimBody { body_hash: pending.body_hash.clone() });
+                    self.batcher.push(entry(&pending, &pending.requester, step));
+                    pending.is_queued = true;
                 }
-                keep_or(wait, is_over, ClaimReply::Silent)
+                answer_if_expired(pending, is_expired, ClaimReply::Silent)
             }
             Standing::Held(holder) => {
-                // A claim of this call that lost has no effect; should the holder release the
-                // key, this call must claim it anew.
-                wait.is_pushed = false;
-                self.end_if_gone(&mut wait, &holder, now, view);
-                keep_or(wait, is_over, ClaimReply::Held(holder.incarnation))
+                // A claim that lost has no effect. If the holder releases the key, this call must claim it
+                // again.
+                pending.is_queued = false;
+                self.end_if_gone(&mut pending, &holder, now, view);
+                answer_if_expired(pending, is_expired, ClaimReply::Held(holder.incarnation))
             }
         }
     }
 
-    /// Records the outcome as unknown once the holder has been gone long enough.
-    fn end_if_gone(&mut self, wait: &mut Wait, holder: &Claimant, now: Millis, view: &View) {
-        let since = *wait.held_since.get_or_insert(now);
+    /// Records the outcome as unknown if the holder is gone: it is not live, and either it is known to have
+    /// stopped or this call has waited for it for `dead_ms`.
+    fn end_if_gone(
+        &mut self,
+        pending: &mut PendingAsk,
+        holder: &Claimant,
+        now: Millis,
+        view: &View,
+    ) {
+        let since = *pending.first_held.get_or_insert(now);
         let dead_ms = self.shared.settings.timing.dead_ms;
         let is_gone = !view.is_live(&holder.incarnation);
-        // A view that has only just begun may not know the holder yet.
+        // A new membership view may not contain the holder yet.
         let is_sure = since + dead_ms <= now || view.is_stopped(&holder.incarnation);
-        if wait.is_ending || !is_gone || !is_sure {
+        if pending.is_outcome_queued || !is_gone || !is_sure {
             return;
         }
-        wait.is_ending = true;
-        emit(events::CLAIMANT_GONE, &self.shared.settings.instance, &wait.key.key);
+        pending.is_outcome_queued = true;
+        emit(events::CLAIMANT_GONE, &self.shared.settings.instance, &pending.key.key);
         let step = ClaimStep::Outcome(ClaimOutcome { answer: None });
-        self.batcher.push(entry(wait, holder, step));
+        self.batcher.push(entry(pending, holder, step));
     }
 
-    fn pump(&mut self, now: Millis) {
+    fn append_next(&mut self, now: Millis) {
         let Some(items) = self.batcher.take(now) else { return };
         self.seq += 1;
         let mut entries = Vec::with_capacity(items.len());
         for item in items {
             entries.push(item.entry);
-            self.landing.extend(item.reply);
+            self.append_replies.extend(item.reply);
         }
         let record = tail::record(&self.shared, self.seq, Body::Claims(entries));
         let (shared, stream) = (self.shared.clone(), self.index);
         tokio::spawn(async move {
             let offset = tail::append(&shared, &tail::claim_stream(stream), &record).await;
-            drop(shared.control.send(Input::ClaimLanded { stream, offset }).await);
+            drop(shared.control.send(Input::ClaimsAppended { stream, offset }).await);
         });
     }
 }
@@ -218,17 +233,21 @@
     }
 }
 
-fn entry(wait: &Wait, claimant: &Claimant, step: ClaimStep) -> Item {
-    let (key, claimant, call) = (wait.key.clone(), claimant.incarnation.clone(), claimant.call);
-    Item { entry: ClaimEntry { key, claimant, call, step }, reply: None }
+fn entry(pending: &PendingAsk, claimant: &Claimant, step: ClaimStep) -> QueuedEntry {
+    let (key, claimant, call) = (pending.key.clone(), claimant.incarnation.clone(), claimant.call);
+    QueuedEntry { entry: ClaimEntry { key, claimant, call, step }, reply: None }
 }
 
-fn answer(wait: Wait, reply: ClaimReply) -> Option<Wait> {
-    // The asker may have gone; the claim is then released by its instance.
-    drop(wait.reply.send(reply));
+fn answer(pending: PendingAsk, reply: ClaimReply) -> Option<PendingAsk> {
+    // The requester may have cancelled the call; its instance then releases the claim.
+    drop(pending.reply.send(reply));
     None
 }
 
-fn keep_or(wait: Wait, is_over: bool, reply: ClaimReply) -> Option<Wait> {
-    if is_over { answer(wait, reply) } else { Some(wait) }
+fn answer_if_expired(
+    pending: PendingAsk,
+    is_expired: bool,
+    reply: ClaimReply,
+) -> Option<PendingAsk> {
+    if is_expired { answer(pending, reply) } else { Some(pending) }
 }
--- a/crates/holdpointd/src/control/claims.rs
+++ b/crates/holdpointd/src/control/claims.rs
@@ -1,5 +1,5 @@
-//! Writers of claim streams. Any instance can write any stream; rendezvous hashing only keeps
-//! the work for one stream in one place.
+//! Writers of claim streams. Any instance can write any stream; rendezvous hashing only keeps the
+//! work for one stream at one instance.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 
 use crate::{control::claim_stream::ClaimStream, shared::Shared};
 
-/// A stream that nobody has asked about for this long is no longer followed, in milliseconds.
+/// Idle time after which a stream is no longer followed.
 const IDLE_MS: Millis = 60_000;
 
 /// Claim streams that this instance follows.
@@ -54,13 +54,13 @@
         }
     }
 
-    pub(crate) fn landed(&mut self, stream: u32, offset: Offset, view: &View) {
+    pub(crate) fn appended(&mut self, stream: u32, offset: Offset, view: &View) {
         if let Some(Some(it)) = self.streams.get_mut(stream as usize) {
-            it.landed(offset, view);
+            it.appended(offset, view);
         }
     }
 
-    /// When the next group commit may start; `None` where nothing waits for one.
+    /// Time at which the next group commit may start; `None` if no stream can start one.
     pub(crate) fn due(&self) -> Option<Millis> {
         self.streams.iter().flatten().filter_map(ClaimStream::due).min()
     }
--- a/crates/holdpointd/src/control/exchange.rs
+++ b/crates/holdpointd/src/control/exchange.rs
@@ -1,5 +1,5 @@
-//! Heartbeats: the exchange of digests with neighbours, and what it says about the head of the
-//! log.
+//! Heartbeats: exchanges membership digests with neighbours. Their answers can
+//! also confirm the head of the log.
 
 use std::{
     collections::BTreeMap,
@@ -21,102 +21,102 @@
     shared::Shared,
 };
 
-/// Least time between two heartbeats to one neighbour while there is news, in milliseconds.
-const NEWS_MS: Millis = 100;
-/// How long a heartbeat may take.
-const LIMIT: Duration = Duration::from_millis(1000);
+/// Minimum interval between heartbeats to one neighbour while there are updates to send.
+const MIN_UPDATE_INTERVAL_MS: Millis = 100;
+/// Time limit for a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Neighbour {
-    sent: Millis,
+    sent_at: Millis,
     sent_version: u64,
     is_waiting: bool,
-    answered: Option<Millis>,
+    answered_at: Option<Millis>,
 }
 
 /// State of the exchange with each neighbour.
 pub(crate) struct Exchange {
     neighbours: BTreeMap<String, Neighbour>,
-    /// What the neighbours were chosen from: the view's version, and whether widely.
-    chosen: Option<(u64, bool)>,
-    buried: Millis,
+    /// Version of the view from which the neighbours were chosen, and whether the wide set was used.
+    chosen_from: Option<(u64, bool)>,
+    last_expiry: Millis,
 }
 
 impl Exchange {
     pub(crate) fn new() -> Exchange {
-        Exchange { neighbours: BTreeMap::new(), chosen: None, buried: 0 }
+        Exchange { neighbours: BTreeMap::new(), chosen_from: None, last_expiry: 0 }
     }
 
-    /// Sends the heartbeats that are due and declares silent neighbours stopped.
-    pub(crate) fn beat(
+    /// Sends the heartbeats that are due and declares silent neighbours as stopped.
+    pub(crate) fn send_due(
         &mut self,
         view: &mut View,
         shared: &Arc<Shared>,
         age: Option<Millis>,
         head: Offset,
-        wide: bool,
+        is_wide: bool,
     ) {
         let now = shared.clock.now();
         let timing = &shared.settings.timing;
-        self.choose(view, wide);
+        self.choose(view, is_wide);
         for (address, neighbour) in &mut self.neighbours {
-            let has_news = neighbour.sent_version < view.version();
-            let wait = if has_news { NEWS_MS } else { timing.heartbeat_ms };
-            if neighbour.is_waiting || now < neighbour.sent + wait {
+            let has_update = neighbour.sent_version < view.version();
+            let wait = if has_update { MIN_UPDATE_INTERVAL_MS } else { timing.heartbeat_ms };
+            if neighbour.is_waiting || now < neighbour.sent_at + wait {
                 continue;
             }
             neighbour.is_waiting = true;
-            neighbour.sent = now;
+            neighbour.sent_at = now;
             neighbour.sent_version = view.version();
             let incarnation = view.incarnation_at(address).cloned();
             let digest = view.digest_for(incarnation.as_deref(), head, age);
             tokio::spawn(heartbeat(shared.clone(), address.clone(), digest, now));
         }
-        if self.buried + timing.heartbeat_ms <= now {
-            self.buried = now;
+        if self.last_expiry + timing.heartbeat_ms <= now {
+            self.last_expiry = now;
             let watched: Vec<String> = self.neighbours.keys().cloned().collect();
             view.bury(now, timing.dead_ms, &watched);
         }
     }
 
-    /// Chooses the neighbours anew where the view has changed.
-    fn choose(&mut self, view: &View, wide: bool) {
-        let from = Some((view.version(), wide));
-        if self.chosen == from {
+    /// Chooses the neighbours again if the view or the width has changed.
+    fn choose(&mut self, view: &View, is_wide: bool) {
+        let from = Some((view.version(), is_wide));
+        if self.chosen_from == from {
             return;
         }
-        self.chosen = from;
+        self.chosen_from = from;
         let mut old = std::mem::take(&mut self.neighbours);
-        for address in view.neighbours(wide) {
+        for address in view.neighbours(is_wide) {
             let neighbour = old.remove(&address).unwrap_or_default();
             self.neighbours.insert(address, neighbour);
         }
     }
 
-    pub(crate) fn ended(&mut self, peer: &str, asked: Millis, answered: bool) {
+    pub(crate) fn record_result(&mut self, peer: &str, asked_at: Millis, is_answered: bool) {
         let Some(neighbour) = self.neighbours.get_mut(peer) else { return };
         neighbour.is_waiting = false;
-        if answered {
-            neighbour.answered = Some(asked);
+        if is_answered {
+            neighbour.answered_at = Some(asked_at);
         } else {
             neighbour.sent_version = 0;
         }
     }
 
-    /// Whether more than half of the neighbours and this instance itself answered within `ms`.
-    pub(crate) fn is_majority(&self, now: Millis, ms: Millis) -> bool {
-        let recent = |it: &&Neighbour| it.answered.is_some_and(|it| now <= it + ms);
-        let present = 1 + self.neighbours.values().filter(recent).count();
+    /// Whether this instance and the neighbours that answered within `ms` are a majority of all of them.
+    pub(crate) fn has_majority(&self, now: Millis, ms: Millis) -> bool {
+        let is_recent = |it: &&Neighbour| it.answered_at.is_some_and(|it| now <= it + ms);
+        let present = 1 + self.neighbours.values().filter(is_recent).count();
         1 + self.neighbours.len() < 2 * present
     }
 
-    /// Tells the neighbours at once that this instance has stopped.
-    pub(crate) async fn farewell(&self, view: &View, shared: &Arc<Shared>) {
+    /// Notifies the neighbours that this instance has stopped.
+    pub(crate) async fn notify_stopped(&self, view: &View, shared: &Arc<Shared>) {
         let calls = self.neighbours.keys().map(|address| {
             let incarnation = view.incarnation_at(address).cloned();
             let digest = view.digest_for(incarnation.as_deref(), 0, None);
-            let limit = Duration::from_millis(300);
-            shared.peers.call(address, limit, |client, context| async move {
+            let timeout = Duration::from_millis(300);
+            shared.peers.call(address, timeout, |client, context| async move {
                 client.heartbeat(context, digest).await
             })
         });
@@ -130,35 +130,35 @@
         self.view.digest_for(peer, self.state.offset(), self.head_age(now))
     }
 
-    /// Time since the head of the log was last confirmed by the log, here or at a peer, in
-    /// milliseconds.
+    /// Time since the log last confirmed its head, here or at a peer, in milliseconds.
     pub(crate) fn head_age(&self, now: Millis) -> Option<Millis> {
         self.head_confirmed.map(|it| now.saturating_sub(it))
     }
 
-    /// Notes that the log, here or at a peer, confirmed the head at `at`.
+    /// Records that the log confirmed its head at `at`, here or at a peer.
     pub(crate) fn head_confirmed(&mut self, at: Millis) {
         self.head_confirmed = self.head_confirmed.max(Some(at));
-        self.may_serve(at);
+        self.extend_serving(at);
     }
 
-    /// The only instance that is known or listed needs nobody's word while the log is down.
-    pub(crate) fn confirm_alone(&mut self, now: Millis) {
+    /// A ready instance without neighbours needs no confirmation by a peer while the log is unavailable. The
+    /// instance list must have been read, since it names possible neighbours.
+    pub(crate) fn confirm_if_alone(&mut self, now: Millis) {
         let is_alone = self.exchange.neighbours.is_empty() && self.listing.is_some();
-        if is_alone && self.log_silent && self.life.phase() == Phase::Ready {
-            self.may_serve(now);
+        if is_alone && self.is_log_silent && self.lifecycle.phase() == Phase::Ready {
+            self.extend_serving(now);
         }
     }
 
-    /// Lets the instance serve for the bound after `at`, unless that is already over: an answer
-    /// that was under way while this process was paused confirms nothing.
-    fn may_serve(&mut self, at: Millis) {
+    /// Extends the time to serve to `confirm_ms` after `at`. Has no effect if that time has passed: an answer
+    /// that was in flight while this process was paused confirms nothing.
+    fn extend_serving(&mut self, at: Millis) {
         let until = at + self.shared.settings.timing.confirm_ms;
         if until < self.shared.clock.now() {
             return;
         }
         self.shared.serve_until.fetch_max(until, Ordering::AcqRel);
-        self.life_event(lifecycle::Event::Confirmed { now: at });
+        self.handle_lifecycle(lifecycle::Event::Confirmed { now: at });
     }
 
     pub(crate) fn merge(&mut self, digest: &Digest) {
@@ -172,47 +172,46 @@
     pub(crate) fn heartbeat_ended(
         &mut self,
         peer: &str,
-        asked: Millis,
+        asked_at: Millis,
         result: Result<Option<Digest>, PeerSilent>,
     ) {
         let digest = result.ok().flatten();
-        self.exchange.ended(peer, asked, digest.is_some());
+        self.exchange.record_result(peer, asked_at, digest.is_some());
         let kind = if digest.is_some() { "answered" } else { "silent" };
         self.shared.metrics.heartbeats.add(1, &[label("result", kind)]);
         let Some(digest) = digest else { return };
         self.merge(&digest);
-        self.confirm_by_peer(&digest, asked);
+        self.confirm_by_peer(&digest, asked_at);
     }
 
-    /// A peer's word lets this instance go on in two cases. The log confirmed the head to the
-    /// peer, and all of it is in force here. Or the log is silent here and at every neighbour
-    /// that answers, and those are the majority: then no change can be accepted without one of
-    /// them, so none can be in force elsewhere.
-    fn confirm_by_peer(&mut self, digest: &Digest, asked: Millis) {
+    /// Extends the time to serve by a peer's digest, in two cases. First, the log confirmed the head to the peer
+    /// and this instance has applied everything up to it. Second, the log is silent here, the peer has
+    /// no recent confirmation either, and this instance with the neighbours that answer is a majority: no change
+    /// can be accepted without one of them, so none can be active elsewhere.
+    fn confirm_by_peer(&mut self, digest: &Digest, asked_at: Millis) {
         if self.state.offset() < digest.head {
             return;
         }
-        let theirs = digest.confirmed_ms.map(|age| asked.saturating_sub(age));
+        let theirs = digest.confirmed_ms.map(|age| asked_at.saturating_sub(age));
         if self.head_confirmed < theirs {
-            self.head_confirmed(theirs.expect("what is above an option is a value"));
+            self.head_confirmed(theirs.expect("greater than an `Option`, so not `None`"));
         }
         let confirm_ms = self.shared.settings.timing.confirm_ms;
-        let is_down = self.log_silent && digest.confirmed_ms.is_none_or(|it| confirm_ms / 4 < it);
-        let is_serving = self.life.phase() == Phase::Ready;
-        if is_serving && is_down && self.exchange.is_majority(asked, confirm_ms) {
-            self.may_serve(asked);
+        let is_down =
+            self.is_log_silent && digest.confirmed_ms.is_none_or(|it| confirm_ms / 4 < it);
+        let is_serving = self.lifecycle.phase() == Phase::Ready;
+        if is_serving && is_down && self.exchange.has_majority(asked_at, confirm_ms) {
+            self.extend_serving(asked_at);
         }
     }
 }
 
-async fn heartbeat(shared: Arc<Shared>, peer: String, digest: Digest, asked: Millis) {
+async fn heartbeat(shared: Arc<Shared>, peer: String, digest: Digest, asked_at: Millis) {
     let result = shared
         .peers
-        .call(
-            &peer,
-            LIMIT,
-            |client, context| async move { client.heartbeat(context, digest).await },
-        )
+        .call(&peer, HEARTBEAT_TIMEOUT, |client, context| async move {
+            client.heartbeat(context, digest).await
+        })
         .await;
-    drop(shared.control.send(Input::HeartbeatEnded { peer, asked, result }).await);
+    drop(shared.control.send(Input::HeartbeatEnded { peer, asked_at, result }).await);
 }
--- a/crates/holdpointd/src/control/mod.rs
+++ b/crates/holdpointd/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control thread: it owns control state, and everything that changes it comes as an
-//! [`Input`], one at a time.
+//! The control thread. It owns the control state; every change to it arrives as an [`Input`], and inputs
+//! are handled one at a time.
 
 mod changes;
 mod claim_stream;
@@ -38,7 +38,7 @@
         changes::Changes,
         claims::Claims,
         exchange::Exchange,
-        placement::{Placing, Planners},
+        placement::{PlacementState, Planners},
         watchers::Watchers,
     },
     events::{self, emit},
@@ -52,23 +52,23 @@
 };
 
 /// Interval between ticks.
-const TICK: Duration = Duration::from_millis(50);
-/// Most inputs that wait for the control thread; senders wait beyond that.
-pub(crate) const INPUTS: usize = 4096;
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of queued inputs; senders wait while the queue is full.
+pub(crate) const MAX_INPUTS: usize = 4096;
 
-/// A resource as operators see it: name, version and specification.
+/// A resource for operators: name, version and specification.
 pub(crate) type Listed = (Name, Offset, serde_json::Map<String, serde_json::Value>);
 
-/// Everything that the control thread reacts to.
+/// Inputs of the control thread.
 pub(crate) enum Input {
-    Adopt { state: Box<State>, from_peer: bool, asked: Millis },
-    Records { batch: Batch, asked: Millis },
+    Adopt { state: Box<State>, from_peer: bool, asked_at: Millis },
+    Records { batch: Batch, asked_at: Millis },
     LogSilent,
     Listing(Listing),
     SameListing,
     ListSilent,
     Heartbeat { digest: Digest, reply: oneshot::Sender<Digest> },
-    HeartbeatEnded { peer: String, asked: Millis, result: Result<Option<Digest>, PeerSilent> },
+    HeartbeatEnded { peer: String, asked_at: Millis, result: Result<Option<Digest>, PeerSilent> },
     Appended { offset: Offset },
     Change { change: Change, reply: oneshot::Sender<ChangeStatus> },
     ChangeStatus { change: String, reply: oneshot::Sender<ChangeStatus> },
@@ -78,9 +78,9 @@
     Claim { ask: ClaimAsk, reply: oneshot::Sender<ClaimReply> },
     Settle { settle: Settle, reply: oneshot::Sender<bool> },
     ClaimRecords { stream: u32, batch: Batch },
-    ClaimLanded { stream: u32, offset: Offset },
+    ClaimsAppended { stream: u32, offset: Offset },
     RoundEnded { planners: Planners },
-    PartLanded,
+    SnapshotPartAppended,
     Snapshot { reply: oneshot::Sender<Option<Snapshot>> },
     Stop,
     Drained,
@@ -91,44 +91,45 @@
     shared: Arc<Shared>,
     state: State,
     catalog: Catalog,
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     view: View,
     listing: Option<Listing>,
     exchange: Exchange,
     changes: Changes,
     claims: Claims,
     watchers: Watchers,
-    placing: Placing,
-    /// The log's own time, as of its last answer.
+    placement: PlacementState,
+    /// Time of the log at its last answer.
     log_now: Millis,
     head_confirmed: Option<Millis>,
-    log_silent: bool,
-    list_silent: bool,
-    /// Parts of a snapshot that are still to be appended, and its mark.
+    is_log_silent: bool,
+    is_list_silent: bool,
+    /// Parts of a snapshot that are still to be appended.
     snapshots: VecDeque<Snapshot>,
+    /// Record for the control stream that follows the last part; `None` if no snapshot is being appended.
     snapshot_mark: Option<Snapshot>,
     snapshot_offset: Offset,
     snapshot_at: Millis,
-    /// Whether what the traffic threads see is out of date.
+    /// Whether the published state is out of date.
     is_dirty: bool,
-    members_seen: BTreeMap<String, Phase>,
-    noted_version: u64,
+    logged_phases: BTreeMap<String, Phase>,
+    logged_version: u64,
 }
 
-/// Runs the control thread's loop until the instance is stopped.
+/// Runs the loop of the control thread until the instance has stopped.
 pub(crate) async fn run(shared: Arc<Shared>, peers: String, mut inputs: mpsc::Receiver<Input>) {
     let mut control = Control::new(shared.clone(), peers);
-    let tail = tokio::spawn(tail::control(shared.clone()));
+    let tail = tokio::spawn(tail::follow_control(shared.clone()));
     let list = tokio::spawn(poll_list(shared.clone()));
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    while control.life.phase() != Phase::Stopped {
+    while control.lifecycle.phase() != Phase::Stopped {
         tokio::select! {
             biased;
-            // The tick goes first: after a pause it must see the clock's jump before any input
-            // that waited through the pause can confirm the head.
+            // The tick goes first: after a pause of the process it must detect the jump of the clock before an
+            // input queued during the pause can confirm the head.
             _ = ticks.tick() => control.tick(),
-            () = control.claims_due() => control.claims_tick(),
+            () = control.wait_for_claims() => control.claims_tick(),
             input = inputs.recv() => match input {
                 Some(it) => control.handle(it),
                 None => break,
@@ -137,7 +138,7 @@
         control.publish_if_dirty();
     }
     control.publish();
-    control.exchange.farewell(&control.view, &shared).await;
+    control.exchange.notify_stopped(&control.view, &shared).await;
     tail.abort();
     list.abort();
 }
@@ -157,33 +158,33 @@
         Control {
             state: State::default(),
             catalog: Catalog::default(),
-            life: Lifecycle::new(shared.settings.timing.confirm_ms),
+            lifecycle: Lifecycle::new(shared.settings.timing.confirm_ms),
             view: View::new(me, now),
             listing: None,
             exchange: Exchange::new(),
             changes: Changes::new(shared.clone()),
             claims: Claims::new(shared.clone()),
             watchers: Watchers::new(),
-            placing: Placing::default(),
+            placement: PlacementState::default(),
             log_now: 0,
             head_confirmed: None,
-            log_silent: false,
-            list_silent: false,
+            is_log_silent: false,
+            is_list_silent: false,
             snapshots: VecDeque::new(),
             snapshot_mark: None,
             snapshot_offset: 0,
             snapshot_at: now,
             is_dirty: true,
-            members_seen: BTreeMap::new(),
-            noted_version: 0,
+            logged_phases: BTreeMap::new(),
+            logged_version: 0,
             shared,
         }
     }
 
     fn handle(&mut self, input: Input) {
         match input {
-            Input::Adopt { state, from_peer, asked } => self.adopt(*state, from_peer, asked),
-            Input::Records { batch, asked } => self.records(&batch, asked),
+            Input::Adopt { state, from_peer, asked_at } => self.adopt(*state, from_peer, asked_at),
+            Input::Records { batch, asked_at } => self.apply_records(&batch, asked_at),
             Input::LogSilent => self.set_log_silent(true),
             Input::Listing(it) => self.set_listing(it),
             Input::SameListing => self.set_list_silent(false),
@@ -192,8 +193,8 @@
                 self.merge(&digest);
                 drop(reply.send(self.digest_for(Some(&digest.from))));
             }
-            Input::HeartbeatEnded { peer, asked, result } => {
-                self.heartbeat_ended(&peer, asked, result);
+            Input::HeartbeatEnded { peer, asked_at, result } => {
+                self.heartbeat_ended(&peer, asked_at, result);
             }
             Input::Appended { offset } => self.changes.appended(offset),
             Input::Change { change, reply } => {
@@ -208,32 +209,32 @@
             Input::Watch { kind, from, reply } => {
                 drop(reply.send(self.watchers.start(&kind, from, &self.state)));
             }
-            Input::TargetLeaving(it) => self.target_leaving(&it),
+            Input::TargetLeaving(it) => self.set_target_draining(&it),
             Input::Claim { ask, reply } => self.claims.ask(ask, reply, &self.view),
             Input::Settle { settle, reply } => self.claims.settle(&settle, reply),
             Input::ClaimRecords { stream, batch } => {
                 self.claims.records(stream, &batch, &self.view);
             }
-            Input::ClaimLanded { stream, offset } => {
-                self.claims.landed(stream, offset, &self.view);
+            Input::ClaimsAppended { stream, offset } => {
+                self.claims.appended(stream, offset, &self.view);
             }
             Input::RoundEnded { planners } => self.round_ended(planners),
-            Input::PartLanded => self.append_part(),
+            Input::SnapshotPartAppended => self.append_snapshot_part(),
             Input::Snapshot { reply } => {
-                let is_known = self.state.offset() != 0 || self.life.confirmed().is_some();
+                let is_known = self.state.offset() != 0 || self.lifecycle.confirmed().is_some();
                 let whole = || snapshot::take(&self.state, usize::MAX).pop();
                 drop(reply.send(is_known.then(whole).flatten()));
             }
             Input::Stop => {
                 emit(events::STOPPING, &self.shared.settings.instance, "");
-                self.life_event(lifecycle::Event::Stop);
+                self.handle_lifecycle(lifecycle::Event::Stop);
             }
-            Input::Drained => self.life_event(lifecycle::Event::Drained),
+            Input::Drained => self.handle_lifecycle(lifecycle::Event::Drained),
         }
     }
 
-    /// Waits until a group commit of claims may start: a tick would be too late for most.
-    fn claims_due(&self) -> impl Future<Output = ()> + use<> {
+    /// Waits until the next group commit of claims may start. Ticks are too infrequent for this.
+    fn wait_for_claims(&self) -> impl Future<Output = ()> + use<> {
         let now = self.shared.clock.now();
         let wait = self.claims.due().map(|it| Duration::from_millis(it.saturating_sub(now)));
         async move {
@@ -250,23 +251,23 @@
 
     fn tick(&mut self) {
         let now = self.shared.clock.now();
-        self.life_event(lifecycle::Event::Tick { now });
+        self.handle_lifecycle(lifecycle::Event::Tick { now });
         let applied = self.state.offset();
-        self.view.set_me(self.life.phase(), applied, now);
+        self.view.set_me(self.lifecycle.phase(), applied, now);
         let age = self.head_age(now);
-        self.exchange.beat(&mut self.view, &self.shared, age, applied, self.log_silent);
-        self.confirm_alone(now);
+        self.exchange.send_due(&mut self.view, &self.shared, age, applied, self.is_log_silent);
+        self.confirm_if_alone(now);
         self.changes.tick(now, &self.state, &self.view);
         self.claims.tick(now, &self.view);
         self.snapshot_if_due(now);
-        self.place(now);
-        self.note_members();
+        self.tick_placement(now);
+        self.log_member_changes();
     }
 
-    fn life_event(&mut self, event: lifecycle::Event) {
-        let before = self.life.phase();
-        self.life.handle(event);
-        let after = self.life.phase();
+    fn handle_lifecycle(&mut self, event: lifecycle::Event) {
+        let before = self.lifecycle.phase();
+        self.lifecycle.handle(event);
+        let after = self.lifecycle.phase();
         if before != after {
             emit(events::PHASE, &self.shared.settings.instance, &format!("{before} to {after}"));
             self.view.set_me(after, self.state.offset(), self.shared.clock.now());
@@ -274,7 +275,7 @@
         }
     }
 
-    fn adopt(&mut self, state: State, from_peer: bool, asked: Millis) {
+    fn adopt(&mut self, state: State, from_peer: bool, asked_at: Millis) {
         if state.offset() < self.state.offset() {
             return;
         }
@@ -283,15 +284,15 @@
         emit(event, &self.shared.settings.instance, &detail);
         self.state = state;
         self.catalog = Catalog::new(&self.state);
-        self.watchers.restart(self.state.offset());
+        self.watchers.reset(self.state.offset());
         self.snapshot_offset = self.state.offset();
         self.is_dirty = true;
         if from_peer {
-            self.head_confirmed(asked);
+            self.head_confirmed(asked_at);
         }
     }
 
-    fn records(&mut self, batch: &Batch, asked: Millis) {
+    fn apply_records(&mut self, batch: &Batch, asked_at: Millis) {
         self.set_log_silent(false);
         self.log_now = self.log_now.max(batch.now);
         for read in &batch.records {
@@ -305,7 +306,7 @@
                         self.snapshot_offset = self.snapshot_offset.max(it.offset);
                         self.snapshot_at = self.shared.clock.now();
                     }
-                    self.effect(read.offset, effect);
+                    self.handle_effect(read.offset, effect);
                 }
                 None => {
                     let detail = format!("offset {}", read.offset);
@@ -315,26 +316,26 @@
             }
         }
         if batch.next <= self.state.offset() + 1 {
-            self.head_confirmed(asked);
+            self.head_confirmed(asked_at);
         }
         if batch.records.is_empty() {
             return;
         }
-        // In force here first, then acknowledged.
+        // Publish before acknowledging: changes must be active here first.
         self.publish();
         let now = self.shared.clock.now();
-        self.view.set_me(self.life.phase(), self.state.offset(), now);
+        self.view.set_me(self.lifecycle.phase(), self.state.offset(), now);
         self.changes.tick(now, &self.state, &self.view);
     }
 
-    fn effect(&mut self, offset: Offset, effect: Effect) {
-        self.leased(&effect);
+    fn handle_effect(&mut self, offset: Offset, effect: Effect) {
+        self.record_lease(&effect);
         let instance = &self.shared.settings.instance;
         match effect {
             Effect::Changed { kind, name, entry } => {
                 self.catalog.set(&kind, &name, entry.as_ref());
                 emit(events::CHANGED, instance, &format!("{kind}/{name} at {offset}"));
-                self.watchers.changed(offset, &kind, &name, entry);
+                self.watchers.record_change(offset, &kind, &name, entry);
             }
             Effect::Conflict => emit(events::CONFLICT, instance, &format!("at {offset}")),
             Effect::Duplicate | Effect::Leased | Effect::LeaseHeld | Effect::Ignored => (),
@@ -349,19 +350,19 @@
             .collect()
     }
 
-    fn set_log_silent(&mut self, silent: bool) {
-        if self.log_silent != silent {
-            let event = if silent { events::LOG_SILENT } else { events::LOG_BACK };
+    fn set_log_silent(&mut self, is_silent: bool) {
+        if self.is_log_silent != is_silent {
+            let event = if is_silent { events::LOG_SILENT } else { events::LOG_BACK };
             emit(event, &self.shared.settings.instance, "");
         }
-        self.log_silent = silent;
+        self.is_log_silent = is_silent;
     }
 
-    fn set_list_silent(&mut self, silent: bool) {
-        if silent && !self.list_silent {
+    fn set_list_silent(&mut self, is_silent: bool) {
+        if is_silent && !self.is_list_silent {
             emit(events::LIST_SILENT, &self.shared.settings.instance, "");
         }
-        self.list_silent = silent;
+        self.is_list_silent = is_silent;
     }
 
     fn set_listing(&mut self, listing: Listing) {
@@ -376,17 +377,17 @@
         self.listing = Some(listing);
     }
 
-    fn target_leaving(&mut self, sign: &LeavingTarget) {
-        if self.view.is_leaving(&sign.address, &sign.incarnation) {
+    fn set_target_draining(&mut self, target: &LeavingTarget) {
+        if self.view.is_leaving(&target.address, &target.incarnation) {
             return;
         }
-        emit(events::TARGET_LEAVING, &self.shared.settings.instance, &sign.address);
-        self.view.set_leaving(&sign.address, &sign.incarnation, self.shared.clock.now());
+        emit(events::TARGET_LEAVING, &self.shared.settings.instance, &target.address);
+        self.view.set_leaving(&target.address, &target.incarnation, self.shared.clock.now());
         self.is_dirty = true;
     }
 
     fn snapshot_if_due(&mut self, now: Millis) {
-        if self.life.phase() != Phase::Ready || self.log_silent {
+        if self.lifecycle.phase() != Phase::Ready || self.is_log_silent {
             return;
         }
         let me = self.view.me().name.clone();
@@ -405,11 +406,12 @@
         let mark = snapshot::mark(&parts[0]);
         self.snapshots.extend(parts);
         self.snapshot_mark = Some(mark);
-        self.append_part();
+        self.append_snapshot_part();
     }
 
-    /// Appends the next part of a snapshot to its stream, and after the last one the mark.
-    fn append_part(&mut self) {
+    /// Appends the next part of a snapshot to the snapshot stream, or the mark to the control stream after the
+    /// last part.
+    fn append_snapshot_part(&mut self) {
         let Some(part) = self.snapshots.pop_front() else {
             if let Some(mark) = self.snapshot_mark.take() {
                 self.changes.append(Body::Snapshot(mark));
@@ -420,17 +422,17 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             tail::append(&shared, tail::SNAPSHOTS, &record).await;
-            drop(shared.control.send(Input::PartLanded).await);
+            drop(shared.control.send(Input::SnapshotPartAppended).await);
         });
     }
 
-    fn note_members(&mut self) {
-        if self.noted_version == self.view.version() {
+    fn log_member_changes(&mut self) {
+        if self.logged_version == self.view.version() {
             return;
         }
-        self.noted_version = self.view.version();
+        self.logged_version = self.view.version();
         for member in self.view.members() {
-            let seen = self.members_seen.insert(member.incarnation.clone(), member.phase);
+            let seen = self.logged_phases.insert(member.incarnation.clone(), member.phase);
             if seen != Some(member.phase) {
                 let detail = format!("{} is {}", member.name, member.phase);
                 emit(events::MEMBER, &self.shared.settings.instance, &detail);
--- a/crates/holdpointd/src/control/publish.rs
+++ b/crates/holdpointd/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! What the control thread shows to the traffic threads.
+//! Publishes a snapshot of the control state to the traffic threads.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -21,7 +21,7 @@
     pub(crate) fn publish(&mut self) {
         self.is_dirty = false;
         let published = Published {
-            phase: self.life.phase(),
+            phase: self.lifecycle.phase(),
             offset: self.state.offset(),
             catalog: self.catalog.clone(),
             targets: Arc::new(self.pool_members()),
@@ -32,8 +32,8 @@
         self.shared.published.store(Arc::new(published));
     }
 
-    /// Targets of each pool: the declared ones and those that the platform lists for it. An
-    /// empty or unreadable list takes nothing away from what is declared.
+    /// Targets of each pool: declared ones and those that the platform lists for it. An empty or unreadable
+    /// list does not remove declared targets.
     fn pool_members(&self) -> BTreeMap<Name, Arc<Vec<Member>>> {
         let listed = self.listing.as_ref().map_or(&[][..], |it| &it.targets);
         let mut by_pool: BTreeMap<&str, Vec<&ListedTarget>> = BTreeMap::new();
@@ -58,11 +58,11 @@
     }
 
     fn listed_member(&self, target: &ListedTarget) -> Member {
-        let is_known = self.view.is_leaving(&target.address, &target.incarnation);
+        let is_draining = self.view.is_leaving(&target.address, &target.incarnation);
         Member {
             address: target.address.clone(),
             domain: target.domain.clone(),
-            leaving: is_known || target.state == ListState::Leaving,
+            leaving: is_draining || target.state == ListState::Leaving,
             held: false,
         }
     }
--- a/crates/holdpointd/src/control/tail.rs
+++ b/crates/holdpointd/src/control/tail.rs
@@ -1,4 +1,4 @@
-//! Reads streams of the log and hands their records to the control thread.
+//! Follows streams of the log, sends their records to the control thread, and appends records.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -24,93 +24,94 @@
 pub(crate) const CONTROL: &str = "control";
 /// Name of the stream of snapshots.
 pub(crate) const SNAPSHOTS: &str = "snapshots";
-/// Most records in one read.
-const LIMIT: usize = 512;
-/// Parts of snapshots that are read at once, from the newest back.
-const PARTS_AT_ONCE: u64 = 16;
-/// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How long a peer may take to send its state.
-const SNAPSHOT_LIMIT: Duration = Duration::from_millis(2000);
-
-/// Where a new instance starts.
-enum Start {
-    /// State of a snapshot in the log, and the records read after it.
+/// Maximum number of records in one read.
+const MAX_RECORDS: usize = 512;
+/// Number of snapshot parts in one read.
+const PARTS_PER_READ: u64 = 16;
+/// Delay before a failed read is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time limit for a peer to send its state.
+const PEER_SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(2000);
+
+/// Result of restoring state from the snapshots in the log.
+enum StartState {
+    /// State of the newest usable snapshot.
     Restored(Box<State>),
-    /// Nothing covers the records that have expired.
+    /// No usable snapshot covers the expired records.
     Gap,
     /// The log does not answer.
     Silent,
 }
 
-/// Follows the control stream, from the beginning, a snapshot or a peer's state.
-pub(crate) async fn control(shared: Arc<Shared>) {
+/// Follows the control stream. Starts at its first record, at a snapshot if records have expired, or at a
+/// peer's state if the log does not answer.
+pub(crate) async fn follow_control(shared: Arc<Shared>) {
     let mut next: Offset = 1;
     let mut has_state = false;
     let mut wait = Duration::ZERO;
     loop {
-        let asked = shared.clock.now();
+        let asked_at = shared.clock.now();
         match read(&shared, CONTROL, next, wait).await {
             Ok(batch) => {
                 has_state = true;
-                wait = wait_after(&shared, &batch);
+                wait = next_wait(&shared, &batch);
                 next = batch.records.last().map_or(next, |it| it.offset + 1);
-                if shared.control.send(Input::Records { batch, asked }).await.is_err() {
+                if shared.control.send(Input::Records { batch, asked_at }).await.is_err() {
                     return;
                 }
             }
             Err(ReadError::Expired { first }) => match restore(&shared, first).await {
-                Start::Restored(state) => {
+                StartState::Restored(state) => {
                     has_state = true;
                     next = state.offset() + 1;
-                    let input = Input::Adopt { state, from_peer: false, asked };
+                    let input = Input::Adopt { state, from_peer: false, asked_at };
                     if shared.control.send(input).await.is_err() {
                         return;
                     }
                 }
-                Start::Gap => {
+                StartState::Gap => {
                     emit(events::GAP, &shared.settings.instance, &format!("before {first}"));
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
-                Start::Silent => tokio::time::sleep(PAUSE).await,
+                StartState::Silent => tokio::time::sleep(RETRY_DELAY).await,
             },
             Err(ReadError::Silent) => {
                 if shared.control.send(Input::LogSilent).await.is_err() {
                     return;
                 }
-                if !has_state && let Some(state) = from_peer(&shared).await {
+                if !has_state && let Some(state) = state_from_peer(&shared).await {
                     has_state = true;
                     next = state.offset() + 1;
-                    let input = Input::Adopt { state: Box::new(state), from_peer: true, asked };
+                    let input = Input::Adopt { state: Box::new(state), from_peer: true, asked_at };
                     drop(shared.control.send(input).await);
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Follows a claim stream from its oldest record. What has expired is older than any key.
-pub(crate) async fn claims(shared: Arc<Shared>, stream: u32) {
+/// Follows a claim stream from its oldest record. Expired records are older than any acceptable key.
+pub(crate) async fn follow_claims(shared: Arc<Shared>, stream: u32) {
     let name = claim_stream(stream);
     let mut next: Offset = 1;
     let mut wait = Duration::ZERO;
     loop {
         match read(&shared, &name, next, wait).await {
             Ok(batch) => {
-                wait = wait_after(&shared, &batch);
+                wait = next_wait(&shared, &batch);
                 next = batch.records.last().map_or(next, |it| it.offset + 1);
                 if shared.control.send(Input::ClaimRecords { stream, batch }).await.is_err() {
                     return;
                 }
             }
             Err(ReadError::Expired { first }) => next = first,
-            Err(ReadError::Silent) => tokio::time::sleep(PAUSE).await,
+            Err(ReadError::Silent) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Appends a record until the log says that it has landed, always under the same record id.
+/// Appends a record, retrying with the same record id until the log acknowledges it.
 pub(crate) async fn append(shared: &Shared, stream: &str, record: &Record) -> Offset {
     let mut pause = Duration::from_millis(10);
     loop {
@@ -129,11 +130,10 @@
     format!("claims-{stream}")
 }
 
-/// How long the next read waits for a record: not at all until the end of the stream was seen
-/// once, since whoever follows an empty stream must know at once that it is empty. A read confirms
-/// the head as of when it was asked, so several must fit into the bound.
-fn wait_after(shared: &Shared, batch: &Batch) -> Duration {
-    if batch.records.len() == LIMIT {
+/// Time for which the next read waits for a record: zero until the end of the stream is reached. A read
+/// confirms the head as of the time it was sent, so several must fit into `confirm_ms`.
+fn next_wait(shared: &Shared, batch: &Batch) -> Duration {
+    if batch.records.len() == MAX_RECORDS {
         return Duration::ZERO;
     }
     Duration::from_millis(shared.settings.timing.confirm_ms / 4)
@@ -145,18 +145,18 @@
     from: Offset,
     wait: Duration,
 ) -> Result<Batch, ReadError> {
-    let batch = shared.log.read(stream, from, LIMIT, wait).await?;
+    let batch = shared.log.read(stream, from, MAX_RECORDS, wait).await?;
     let bytes = batch.records.iter().map(|it| it.bytes as u64).sum();
     shared.metrics.log_bytes.add(bytes, &[label("direction", "in")]);
     Ok(batch)
 }
 
-/// Finds the newest usable snapshot that reaches to the oldest record still kept.
-async fn restore(shared: &Shared, first: Offset) -> Start {
+/// Restores the newest usable snapshot that covers all records before `first`, the oldest that is kept.
+async fn restore(shared: &Shared, first: Offset) -> StartState {
     let parts = match snapshot_parts(shared).await {
         Ok(it) => it,
-        Err(ReadError::Silent) => return Start::Silent,
-        Err(ReadError::Expired { .. }) => return Start::Gap,
+        Err(ReadError::Silent) => return StartState::Silent,
+        Err(ReadError::Expired { .. }) => return StartState::Gap,
     };
     let mut snapshots: BTreeMap<(Offset, &str), Vec<&Snapshot>> = BTreeMap::new();
     for part in parts.iter().filter(|it| first <= it.offset + 1) {
@@ -164,22 +164,22 @@
     }
     for parts in snapshots.into_values().rev() {
         match snapshot::restore(parts) {
-            Ok(it) => return Start::Restored(Box::new(it)),
-            // The newest one may still be on its way into the log.
+            Ok(it) => return StartState::Restored(Box::new(it)),
+            // The newest snapshot may be incomplete while its parts are still being appended.
             Err(BadSnapshot::Parts) => (),
             Err(it) => emit(events::BAD_SNAPSHOT, &shared.settings.instance, &format!("{it:?}")),
         }
     }
-    Start::Gap
+    StartState::Gap
 }
 
-/// Reads the end of the stream of snapshots, back to the last whole one.
+/// Reads the snapshot stream backwards until it has all parts of one snapshot.
 async fn snapshot_parts(shared: &Shared) -> Result<Vec<Snapshot>, ReadError> {
     let end = read(shared, SNAPSHOTS, Offset::MAX, Duration::ZERO).await?;
     let mut parts: Vec<Snapshot> = Vec::new();
     let mut before = end.next;
-    while end.first < before && !has_whole(&parts) {
-        let from = end.first.max(before.saturating_sub(PARTS_AT_ONCE));
+    while end.first < before && !has_complete(&parts) {
+        let from = end.first.max(before.saturating_sub(PARTS_PER_READ));
         let batch = read(shared, SNAPSHOTS, from, Duration::ZERO).await?;
         let older = batch.records.into_iter().filter(|it| it.offset < before);
         parts.extend(older.filter_map(snapshot_in));
@@ -188,13 +188,13 @@
     Ok(parts)
 }
 
-fn has_whole(parts: &[Snapshot]) -> bool {
-    parts.iter().any(|one| {
-        let same = |it: &&Snapshot| it.offset == one.offset && it.hash == one.hash;
+fn has_complete(parts: &[Snapshot]) -> bool {
+    parts.iter().any(|part| {
+        let same = |it: &&Snapshot| it.offset == part.offset && it.hash == part.hash;
         let mut found: Vec<u32> = parts.iter().filter(same).map(|it| it.part).collect();
         found.sort_unstable();
         found.dedup();
-        found.len() == one.parts as usize
+        found.len() == part.parts as usize
     })
 }
 
@@ -205,17 +205,18 @@
     }
 }
 
-/// Asks the listed instances for their state and takes the newest.
-async fn from_peer(shared: &Shared) -> Option<State> {
+/// Fetches the state of all listed instances and returns the newest.
+async fn state_from_peer(shared: &Shared) -> Option<State> {
     let timeout = Duration::from_millis(shared.settings.timing.log_timeout_ms);
     let mut list = ListClient::new(shared.http.clone(), &shared.settings.platform.list, timeout);
     let listing = list.read().await.ok()??;
     let mut newest: Option<State> = None;
     for instance in listing.instances.iter().filter(|it| it.name != shared.settings.instance) {
-        let call =
-            shared.peers.call(&instance.peers, SNAPSHOT_LIMIT, |client, context| async move {
-                client.snapshot(context).await
-            });
+        let call = shared.peers.call(
+            &instance.peers,
+            PEER_SNAPSHOT_TIMEOUT,
+            |client, context| async move { client.snapshot(context).await },
+        );
         let Ok(Some(found)) = call.await else { continue };
         let Ok(state) = snapshot::restore([&found]) else { continue };
         if newest.as_ref().is_none_or(|it| it.offset() < state.offset()) {
@@ -225,7 +226,7 @@
     newest
 }
 
-/// Time as a record carries it.
+/// Creates a record of this instance with the current time.
 pub(crate) fn record(shared: &Shared, seq: u64, body: Body) -> Record {
     let at: Millis = shared.clock.now();
     Record { writer: shared.incarnation.clone(), seq, at, body }
--- a/crates/holdpointd/src/control/watchers.rs
+++ b/crates/holdpointd/src/control/watchers.rs
@@ -1,4 +1,4 @@
-//! Watches on resources: what changed since a version, then each change as it comes.
+//! Watches on resources: a watch first gets the changes since a version, then each new change.
 
 use std::collections::VecDeque;
 
@@ -9,10 +9,10 @@
 use serde::Serialize;
 use tokio::sync::broadcast;
 
-/// Changes remembered for watches that resume.
+/// Number of recent changes kept for watches that resume.
 const HISTORY: usize = 1024;
 
-/// One change as a watch shows it.
+/// One change, as sent to watches.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct WatchEvent {
     /// Kind of the resource.
@@ -26,18 +26,18 @@
     pub spec: Option<serde_json::Map<String, serde_json::Value>>,
 }
 
-/// How a watch starts.
+/// Result of starting a watch.
 pub(crate) enum WatchStart {
-    /// What changed since the version, and the changes to come.
+    /// Changes since the version, and the receiver of new changes.
     From(Vec<WatchEvent>, broadcast::Receiver<WatchEvent>),
-    /// Changes after the version are no longer remembered: list again.
+    /// Changes after the version are no longer kept; the client must list again.
     TooOld,
 }
 
-/// Changes remembered and those who watch.
+/// Recent changes and the channel to running watches.
 pub(crate) struct Watchers {
     history: VecDeque<WatchEvent>,
-    /// Changes up to this offset are not in the history.
+    /// Changes up to this offset are no longer in the history.
     floor: Offset,
     sender: broadcast::Sender<WatchEvent>,
 }
@@ -48,15 +48,21 @@
         Watchers { history: VecDeque::new(), floor: 0, sender }
     }
 
-    /// Forgets the history: the state was restored at an offset, not folded up to it.
-    pub(crate) fn restart(&mut self, offset: Offset) {
+    /// Clears the history after the state was replaced by one restored at an offset.
+    pub(crate) fn reset(&mut self, offset: Offset) {
         self.history.clear();
         self.floor = offset;
-        // Watches under way have missed changes; they end and start again.
+        // Running watches have missed changes. Replacing the channel ends them, so that clients list again.
         (self.sender, _) = broadcast::channel(HISTORY);
     }
 
-    pub(crate) fn changed(&mut self, offset: Offset, kind: &str, name: &str, entry: Option<Entry>) {
+    pub(crate) fn record_change(
+        &mut self,
+        offset: Offset,
+        kind: &str,
+        name: &str,
+        entry: Option<Entry>,
+    ) {
         let event = WatchEvent {
             kind: kind.to_owned(),
             name: name.to_owned(),
@@ -69,11 +75,11 @@
             self.floor = oldest.version;
         }
         self.history.push_back(event.clone());
-        // Without a watch there is nobody to send to.
+        // Fails if there are no running watches.
         drop(self.sender.send(event));
     }
 
-    /// Starts a watch on a kind. From version 0 it begins with all that exists.
+    /// Starts a watch on a kind. Version 0 starts with all existing resources.
     pub(crate) fn start(&self, kind: &str, from: Offset, state: &State) -> WatchStart {
         let events = if from == 0 {
             let existing = state.resources(kind).map(|(name, it)| WatchEvent {
