--- a/crates/holdpointd/src/operators/auth.rs
+++ b/crates/holdpointd/src/operators/auth.rs
@@ -1,4 +1,4 @@
-//! Operators' tokens.
+//! Authentication of operators by bearer token.
 
 use axum::http::{HeaderMap, header};
 use holdpoint_core::ids::sha256_hex;
@@ -6,7 +6,7 @@
 
 use crate::{operators::Refusal, shared::Shared};
 
-/// Name of the operator whose token a call carries. Hashes are compared in constant time.
+/// Name of the operator whose token is in the headers. Hashes are compared in constant time.
 pub(crate) fn operator<'a>(shared: &'a Shared, headers: &HeaderMap) -> Result<&'a str, Refusal> {
     let bearer = headers.get(header::AUTHORIZATION).and_then(|it| it.to_str().ok());
     let token = bearer.and_then(|it| it.strip_prefix("Bearer ")).ok_or(Refusal::Unauthorized)?;
--- a/crates/holdpointd/src/operators/changes.rs
+++ b/crates/holdpointd/src/operators/changes.rs
@@ -1,4 +1,4 @@
-//! Changes to resources.
+//! HTTP handlers that change resources and report the status of changes.
 
 use std::sync::Arc;
 
@@ -21,14 +21,14 @@
 
 use crate::{
     control::{Input, change_wait_limit},
-    operators::{Refusal, ask, auth::operator, kind_of, resources},
+    operators::{Refusal, ask_control, auth::operator, parse_kind, resources},
     shared::Shared,
 };
 
-/// Header with the change id, by which a change can be repeated safely.
-const CHANGE: &str = "holdpoint-change";
+/// Header with the change id; a change repeated with the same id is applied once.
+const CHANGE_ID_HEADER: &str = "holdpoint-change";
 
-/// `PUT /apis/v1/{kind}/{name}` with the specification as body.
+/// `PUT /apis/v1/{kind}/{name}` with the specification as the body.
 pub(crate) async fn put(
     State(shared): State<Arc<Shared>>,
     Path((kind, name)): Path<(String, String)>,
@@ -36,15 +36,15 @@
     body: Bytes,
 ) -> Result<Response, Refusal> {
     let operator = operator(&shared, &headers)?.to_owned();
-    let known = kind_of(&kind)?;
+    let parsed_kind = parse_kind(&kind)?;
     let value: Value =
         serde_json::from_slice(&body).map_err(|it| Refusal::BadBody(it.to_string()))?;
     let found = name_faults(&kind, &name, &value);
     if !found.is_empty() {
         return Err(Refusal::Faults(found));
     }
-    let Value::Object(spec) = value else { return Err(Refusal::NoKind) };
-    let found = check(&shared.now().catalog, known, &spec);
+    let Value::Object(spec) = value else { return Err(Refusal::UnknownKind) };
+    let found = check(&shared.now().catalog, parsed_kind, &spec);
     if !found.is_empty() {
         return Err(Refusal::Faults(found));
     }
@@ -58,7 +58,7 @@
     headers: HeaderMap,
 ) -> Result<Response, Refusal> {
     let operator = operator(&shared, &headers)?.to_owned();
-    kind_of(&kind)?;
+    parse_kind(&kind)?;
     change(&shared, &headers, operator, kind, name, Map::new()).await
 }
 
@@ -69,7 +69,7 @@
     headers: HeaderMap,
 ) -> Result<Response, Refusal> {
     operator(&shared, &headers)?;
-    let status = ask(&shared, |reply| Input::ChangeStatus { change, reply }).await?;
+    let status = ask_control(&shared, |reply| Input::ChangeStatus { change, reply }).await?;
     Ok(Json(status).into_response())
 }
 
@@ -81,7 +81,7 @@
     name: String,
     spec: Map<String, Value>,
 ) -> Result<Response, Refusal> {
-    let stated = base(headers)?;
+    let stated = base_version(headers)?;
     let base = match stated {
         Some(it) => it,
         None => {
@@ -89,10 +89,10 @@
             found.first().map_or(0, |it| it.1)
         }
     };
-    let given = headers.get(CHANGE).and_then(|it| it.to_str().ok()).map(str::to_owned);
-    let id = given.unwrap_or_else(|| Uuid::now_v7().to_string());
+    let given_id = headers.get(CHANGE_ID_HEADER).and_then(|it| it.to_str().ok()).map(str::to_owned);
+    let id = given_id.unwrap_or_else(|| Uuid::now_v7().to_string());
     let change = Change { change: id.clone(), kind, name, base, spec, operator };
-    let asked = ask(shared, |reply| Input::Change { change, reply });
+    let asked = ask_control(shared, |reply| Input::Change { change, reply });
     let status = match tokio::time::timeout(change_wait_limit(shared), asked).await {
         Ok(it) => it?,
         Err(_) => {
@@ -103,19 +103,19 @@
     Ok(answer(&status, stated.is_some()))
 }
 
-fn answer(status: &ChangeStatus, was_conditional: bool) -> Response {
+fn answer(status: &ChangeStatus, is_conditional: bool) -> Response {
     let code = match status.state {
         ChangeState::Accepted => StatusCode::OK,
         ChangeState::Pending => StatusCode::ACCEPTED,
-        ChangeState::Conflict if was_conditional => StatusCode::PRECONDITION_FAILED,
+        ChangeState::Conflict if is_conditional => StatusCode::PRECONDITION_FAILED,
         ChangeState::Conflict => StatusCode::CONFLICT,
         ChangeState::Unknown => StatusCode::GATEWAY_TIMEOUT,
     };
     (code, Json(status)).into_response()
 }
 
-/// Version that the operator says the change is made against.
-fn base(headers: &HeaderMap) -> Result<Option<Offset>, Refusal> {
+/// Version on which a change is conditional, from `If-Match` or `If-None-Match`.
+fn base_version(headers: &HeaderMap) -> Result<Option<Offset>, Refusal> {
     let text = |name| headers.get(name).map(|it| it.to_str().unwrap_or("?").trim_matches('"'));
     if text(header::IF_NONE_MATCH) == Some("*") {
         return Ok(Some(0));
--- a/crates/holdpointd/src/operators/mod.rs
+++ b/crates/holdpointd/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP surface: resources, changes, watches, reports and metrics.
+//! HTTP API for operators: resources, changes, watches, reports and metrics.
 
 mod auth;
 mod changes;
@@ -25,18 +25,21 @@
     traffic::merged_report,
 };
 
-/// Routes of the operators' address.
+/// Router for the operators' address.
 pub(crate) fn router(shared: Arc<Shared>) -> Router {
     Router::new()
-        .route("/apis/v1/{kind}", get(list))
-        .route("/apis/v1/{kind}/{name}", get(one).put(changes::put).delete(changes::delete))
+        .route("/apis/v1/{kind}", get(list_resources))
+        .route(
+            "/apis/v1/{kind}/{name}",
+            get(get_resource).put(changes::put).delete(changes::delete),
+        )
         .route("/apis/v1/changes/{id}", get(changes::status))
         .route("/apis/v1/instances", get(instances))
-        .route("/report/burn", get(burn))
-        .route("/report/trials/{name}", get(trial))
+        .route("/report/burn", get(burn_report))
+        .route("/report/trials/{name}", get(trial_report))
         .route("/metrics", get(metrics))
         .route("/healthz", get(|| async { "ok\n" }))
-        .route("/readyz", get(ready))
+        .route("/readyz", get(readiness))
         .with_state(shared)
 }
 
@@ -44,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Refusal {
     Unauthorized,
-    NoKind,
+    UnknownKind,
     NotFound,
     BadBody(String),
     Faults(Vec<holdpoint_schema::Fault>),
@@ -57,7 +60,7 @@
     fn into_response(self) -> Response {
         let (status, kind) = match &self {
             Refusal::Unauthorized => (StatusCode::UNAUTHORIZED, "unauthorized"),
-            Refusal::NoKind => (StatusCode::NOT_FOUND, "no-kind"),
+            Refusal::UnknownKind => (StatusCode::NOT_FOUND, "no-kind"),
             Refusal::NotFound => (StatusCode::NOT_FOUND, "not-found"),
             Refusal::BadBody(_) => (StatusCode::BAD_REQUEST, "bad-body"),
             Refusal::Faults(_) => (StatusCode::UNPROCESSABLE_ENTITY, "invalid"),
@@ -96,14 +99,14 @@
     from: u64,
 }
 
-async fn list(
+async fn list_resources(
     State(shared): State<Arc<Shared>>,
     Path(kind): Path<String>,
     Query(query): Query<ListQuery>,
     headers: HeaderMap,
 ) -> Result<Response, Refusal> {
     operator(&shared, &headers)?;
-    kind_of(&kind)?;
+    parse_kind(&kind)?;
     if query.watch {
         return watch::watch(&shared, kind, query.from).await;
     }
@@ -112,13 +115,13 @@
     Ok(Json(json!({ "offset": shared.now().offset, "items": items })).into_response())
 }
 
-async fn one(
+async fn get_resource(
     State(shared): State<Arc<Shared>>,
     Path((kind, name)): Path<(String, String)>,
     headers: HeaderMap,
 ) -> Result<Response, Refusal> {
     operator(&shared, &headers)?;
-    kind_of(&kind)?;
+    parse_kind(&kind)?;
     let found = resources(&shared, &kind, Some(name)).await?;
     let resource = found.first().ok_or(Refusal::NotFound)?;
     let tag = [(header::ETAG, format!("\"{}\"", resource.1))];
@@ -133,7 +136,10 @@
     Ok(Json(json!({ "instances": *shared.now().instances })).into_response())
 }
 
-async fn burn(State(shared): State<Arc<Shared>>, headers: HeaderMap) -> Result<Response, Refusal> {
+async fn burn_report(
+    State(shared): State<Arc<Shared>>,
+    headers: HeaderMap,
+) -> Result<Response, Refusal> {
     operator(&shared, &headers)?;
     let report = merged_report(&shared).await;
     let pipelines = report.burn_reports(&shared.now());
@@ -142,7 +148,7 @@
     Ok(Json(document).into_response())
 }
 
-async fn trial(
+async fn trial_report(
     State(shared): State<Arc<Shared>>,
     Path(name): Path<String>,
     headers: HeaderMap,
@@ -158,14 +164,14 @@
     (headers, shared.metrics.text()).into_response()
 }
 
-async fn ready(State(shared): State<Arc<Shared>>) -> Response {
+async fn readiness(State(shared): State<Arc<Shared>>) -> Response {
     let is_ready = shared.is_ready(&shared.now());
     let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     (status, if is_ready { "ready\n" } else { "not ready\n" }).into_response()
 }
 
-pub(crate) fn kind_of(text: &str) -> Result<Kind, Refusal> {
-    text.parse().map_err(|_| Refusal::NoKind)
+pub(crate) fn parse_kind(text: &str) -> Result<Kind, Refusal> {
+    text.parse().map_err(|_| Refusal::UnknownKind)
 }
 
 pub(crate) async fn resources(
@@ -174,10 +180,10 @@
     name: Option<String>,
 ) -> Result<Vec<Listed>, Refusal> {
     let kind = kind.to_owned();
-    ask(shared, |reply| Input::Resources { kind, name, reply }).await
+    ask_control(shared, |reply| Input::Resources { kind, name, reply }).await
 }
 
-pub(crate) async fn ask<T>(
+pub(crate) async fn ask_control<T>(
     shared: &Shared,
     input: impl FnOnce(oneshot::Sender<T>) -> Input,
 ) -> Result<T, Refusal> {
--- a/crates/holdpointd/src/operators/watch.rs
+++ b/crates/holdpointd/src/operators/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: one JSON event a line.
+//! Watches on resources, as a stream of JSON events, one per line.
 
 use std::convert::Infallible;
 
@@ -12,29 +12,29 @@
 
 use crate::{
     control::{Input, WatchEvent, WatchStart},
-    operators::{Refusal, ask},
+    operators::{Refusal, ask_control},
     shared::{Shared, raised},
 };
 
 /// Starts a watch on a kind from a version.
 pub(crate) async fn watch(shared: &Shared, kind: String, from: u64) -> Result<Response, Refusal> {
     let watched = kind.clone();
-    let start = ask(shared, |reply| Input::Watch { kind, from, reply }).await?;
+    let start = ask_control(shared, |reply| Input::Watch { kind, from, reply }).await?;
     let WatchStart::From(before, changes) = start else { return Err(Refusal::TooOld) };
     let after = before.iter().map(|it| it.version).max().unwrap_or(from);
     let mut hand_over = shared.hand_over.subscribe();
     let later = BroadcastStream::new(changes)
         .take_while(|it| {
-            // A watch that fell behind ends with an event that says so.
-            let is_behind = matches!(it, Err(BroadcastStreamRecvError::Lagged(_)));
-            std::future::ready(!is_behind)
+            // A watch that falls behind ends with an error event.
+            let has_lagged = matches!(it, Err(BroadcastStreamRecvError::Lagged(_)));
+            std::future::ready(!has_lagged)
         })
         .filter_map(|it| std::future::ready(it.ok()))
         .filter(move |it| std::future::ready(it.kind == watched && after < it.version))
         .map(|it| line(&it))
         .chain(stream::iter([Bytes::from_static(b"{\"error\":\"too-old\"}\n")]))
         .take_until(async move {
-            // An instance that stops ends its watches; they resume at another.
+            // A stopping instance ends its watches; clients resume them at another instance.
             raised(&mut hand_over).await;
         });
     let before: Vec<Bytes> = before.iter().map(line).collect();
