--- a/crates/holdpointd/src/instance.rs
+++ b/crates/holdpointd/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its threads, its addresses, its start and its end.
+//! One instance: binds its addresses, starts its threads and stops them as planned.
 
 use std::{
     fmt,
@@ -22,7 +22,7 @@
 use uuid::Uuid;
 
 use crate::{
-    control::{self, INPUTS, Input},
+    control::{self, Input, MAX_INPUTS},
     events::{self, emit},
     metrics::Metrics,
     operators,
@@ -32,17 +32,17 @@
     traffic::{self, Traffic},
 };
 
-/// How long streams may take to tell their callers where to go on.
-const HAND_OVER: Duration = Duration::from_millis(1000);
-/// How long the last answers may take to be written.
-const CLOSE: Duration = Duration::from_millis(1000);
+/// Time for streams to tell their callers where to resume.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time for each server to write its remaining answers.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Why an instance cannot start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartError {
     /// A listening address cannot be bound.
     Bind,
-    /// A thread or its runtime cannot be made.
+    /// A thread or its runtime cannot be started.
     Thread,
 }
 
@@ -60,20 +60,20 @@
 /// How a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// Everything in flight finished.
+    /// All requests in flight finished.
     Drained,
-    /// The drain limit passed with work in flight; its streams were handed over.
+    /// The drain limit passed with requests in flight; their streams were handed over.
     Cut,
 }
 
 /// Addresses that an instance listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers' HTTP.
+    /// HTTP address for callers.
     pub callers: SocketAddr,
-    /// Operators' HTTP.
+    /// HTTP address for operators.
     pub operators: SocketAddr,
-    /// Peer RPC.
+    /// RPC address for peers.
     pub peers: SocketAddr,
 }
 
@@ -95,12 +95,20 @@
 }
 
 impl Instance {
-    /// Starts an instance; it serves as soon as it knows the state of the log.
+    /// Starts an instance. It serves once the head of the log is confirmed.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an address cannot be bound or a thread cannot be started.
     pub fn start(settings: Settings) -> Result<Instance, Report<StartError>> {
         Instance::with_clock(settings, Clock::new())
     }
 
-    /// Starts an instance that goes by a clock of the caller's.
+    /// Starts an instance with the caller's clock.
+    ///
+    /// # Errors
+    ///
+    /// As [`Instance::start`].
     pub fn with_clock(settings: Settings, clock: Clock) -> Result<Instance, Report<StartError>> {
         let listeners = Listeners::bind(&settings)?;
         let addresses = listeners.addresses()?;
@@ -111,8 +119,8 @@
             .enable_all()
             .build()
             .change_context(StartError::Thread)?;
-        let (inputs, receiver) = mpsc::channel(INPUTS);
-        let shared = Arc::new(shared(settings, clock, inputs));
+        let (inputs, receiver) = mpsc::channel(MAX_INPUTS);
+        let shared = Arc::new(new_shared(settings, clock, inputs));
         let (kill, killed) = watch::channel(false);
         let (close, _) = watch::channel(false);
         let control = control_thread(&shared, listeners.peers, addresses.peers, receiver, killed)?;
@@ -129,18 +137,18 @@
         Ok(Instance { shared, addresses, runtime, control, kill, close, servers })
     }
 
-    /// Addresses that it listens on.
+    /// Addresses that the instance listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// What its threads share.
+    /// State shared by the threads of the instance.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Stops as planned: not ready first, then no new work, then all that is in flight ends or is
-    /// handed over.
+    /// Stops as planned: first reports not ready, then takes no new requests, then waits until requests in
+    /// flight end or their streams are handed over.
     pub async fn stop(mut self) -> Ended {
         let timing = &self.shared.settings.timing;
         self.shared.is_leaving.store(true, Ordering::Release);
@@ -149,16 +157,16 @@
         let limit = Duration::from_millis(timing.drain_ms);
         let idle = self.shared.in_flight.idle();
         let is_drained = tokio::time::timeout(limit, idle).await.is_ok();
-        // Watches never end by themselves, so they are told as well.
+        // Watches never end by themselves, so this also ends them after a complete drain.
         self.shared.hand_over.send_replace(true);
         if !is_drained {
             let n = self.shared.in_flight.count();
             emit(events::HANDED_OVER, &self.shared.settings.instance, &n.to_string());
-            drop(tokio::time::timeout(HAND_OVER, self.shared.in_flight.idle()).await);
+            drop(tokio::time::timeout(HAND_OVER_TIMEOUT, self.shared.in_flight.idle()).await);
         }
         self.close.send_replace(true);
         for server in self.servers.drain(..) {
-            drop(tokio::time::timeout(CLOSE, server).await);
+            drop(tokio::time::timeout(CLOSE_TIMEOUT, server).await);
         }
         drop(self.shared.control.send(Input::Drained).await);
         if let Some(it) = self.control.take() {
@@ -168,7 +176,7 @@
         if is_drained { Ended::Drained } else { Ended::Cut }
     }
 
-    /// Ends at once, as if the process had died.
+    /// Stops at once, as if the process had crashed.
     pub fn kill(self) {
         drop(self);
     }
@@ -200,18 +208,18 @@
     }
 
     fn addresses(&self) -> Result<Addresses, Report<StartError>> {
-        let of = |it: &TcpListener| it.local_addr().change_context(StartError::Bind);
-        let (callers, operators) = (of(&self.callers)?, of(&self.operators)?);
-        Ok(Addresses { callers, operators, peers: of(&self.peers)? })
+        let address_of = |it: &TcpListener| it.local_addr().change_context(StartError::Bind);
+        let (callers, operators) = (address_of(&self.callers)?, address_of(&self.operators)?);
+        Ok(Addresses { callers, operators, peers: address_of(&self.peers)? })
     }
 }
 
-fn shared(settings: Settings, clock: Clock, control: mpsc::Sender<Input>) -> Shared {
+fn new_shared(settings: Settings, clock: Clock, control: mpsc::Sender<Input>) -> Shared {
     let http = Http::new();
     let timeout = Duration::from_millis(settings.timing.log_timeout_ms);
     let metrics = Arc::new(Metrics::new());
     Shared {
-        // Incarnations sort by their start, which a UUID of version 7 gives.
+        // Version 7 UUIDs sort by creation time, so incarnations sort by start time.
         incarnation: Uuid::now_v7().simple().to_string(),
         token_keys: token_keys(&settings),
         published: ArcSwap::from_pointee(Published::new()),
@@ -254,8 +262,8 @@
             let report = move || {
                 serde_json::to_string(&traffic::local_report(&reporter)).unwrap_or_default()
             };
-            let (way, metrics) = (shared.control.clone(), shared.metrics.clone());
-            tokio::spawn(peers::serve(listener, way, Arc::new(report), metrics));
+            let (sender, metrics) = (shared.control.clone(), shared.metrics.clone());
+            tokio::spawn(peers::serve(listener, sender, Arc::new(report), metrics));
             tokio::select! {
                 () = control::run(shared, advertise, inputs) => (),
                 () = raised(&mut killed) => (),
--- a/crates/holdpointd/src/lib.rs
+++ b/crates/holdpointd/src/lib.rs
@@ -1,5 +1,5 @@
-//! The holdpoint daemon as a library, so that a demonstration or a test can run several
-//! instances inside one process.
+//! The holdpoint daemon as a library. Demonstrations and tests use it to run several instances in one
+//! process.
 //!
 //! ```no_run
 //! use holdpointd::{Instance, settings};
--- a/crates/holdpointd/src/main.rs
+++ b/crates/holdpointd/src/main.rs
@@ -1,4 +1,5 @@
-//! The daemon: one instance, from its settings until a planned stop.
+//! The daemon's command line: loads the settings and runs one instance until a signal requests a planned
+//! stop.
 
 use std::{
     path::{Path, PathBuf},
@@ -19,8 +20,8 @@
 
 /// Exit code for settings that cannot be used.
 const BAD_SETTINGS: u8 = 2;
-/// Most lines of the log that wait to be written.
-const LOG_LINES: usize = 4096;
+/// Maximum number of buffered log lines; further lines are dropped.
+const MAX_LOG_LINES: usize = 4096;
 /// Exit code for an instance that cannot start.
 const CANNOT_START: u8 = 4;
 
@@ -63,7 +64,7 @@
     let _log = start_log(level);
     let path: &PathBuf = matches.get_one("settings").expect("the argument is required");
     if matches.get_flag("ingress") {
-        return ingress(path, matches.get_flag("check"));
+        return run_ingress(path, matches.get_flag("check"));
     }
     let settings = match settings::load(path) {
         Ok(it) => it,
@@ -91,8 +92,8 @@
     ExitCode::from(u8::try_from(code).unwrap_or(1))
 }
 
-/// Runs an ingress instance on one thread, until a signal asks for a planned stop.
-fn ingress(path: &Path, only_checks: bool) -> ExitCode {
+/// Runs an ingress instance on one thread until a signal requests a planned stop.
+fn run_ingress(path: &Path, is_check: bool) -> ExitCode {
     let settings = match settings::load_ingress(path) {
         Ok(it) => it,
         Err(it) => {
@@ -100,7 +101,7 @@
             return ExitCode::from(BAD_SETTINGS);
         }
     };
-    if only_checks {
+    if is_check {
         return ExitCode::SUCCESS;
     }
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
@@ -138,7 +139,7 @@
     }
 }
 
-/// Runs until a signal asks for a planned stop.
+/// Runs until a signal requests a planned stop.
 fn run(instance: Instance) -> Option<Ended> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().ok()?;
     runtime.block_on(async {
@@ -152,8 +153,8 @@
     })
 }
 
-/// Starts the log: lines go to standard error from a thread of their own, which drops lines
-/// rather than hold traffic up. The guard writes what is left when it is dropped.
+/// Starts the log. A separate thread writes lines to standard error; when its buffer is full, lines are
+/// dropped so that logging never blocks traffic. The guard flushes buffered lines when it is dropped.
 fn start_log(level: LevelFilter) -> WorkerGuard {
     let config = ConfigBuilder::new()
         .set_time_format_rfc3339()
@@ -163,9 +164,9 @@
         .build();
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LOG_LINES)
+        .buffered_lines_limit(MAX_LOG_LINES)
         .finish(std::io::stderr());
-    // Only a second logger in the same process fails here.
+    // Fails only if the process already has a logger.
     drop(WriteLogger::init(level, config, writer));
     guard
 }
--- a/crates/holdpointd/src/metrics.rs
+++ b/crates/holdpointd/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, counted by OpenTelemetry and shown in the Prometheus text form.
+//! Metrics: recorded with OpenTelemetry, exported in the Prometheus text format.
 
 use opentelemetry::{
     KeyValue,
@@ -7,53 +7,54 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bounds of latency buckets, in milliseconds.
-const LATENCY_BOUNDS: [f64; 12] =
+/// Bounds of the latency buckets, in milliseconds.
+const LATENCY_BOUNDS_MS: [f64; 12] =
     [1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, 2000.0, 5000.0];
 
-/// Bounds of what was predicted, in hundredths of what came.
-const PREDICTED_BOUNDS: [f64; 9] = [30.0, 50.0, 70.0, 80.0, 90.0, 110.0, 130.0, 200.0, 400.0];
+/// Bounds of the buckets of predicted times, in percent of the actual time.
+const PREDICTED_BOUNDS_PERCENT: [f64; 9] =
+    [30.0, 50.0, 70.0, 80.0, 90.0, 110.0, 130.0, 200.0, 400.0];
 
 /// All instruments of one instance.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
-    /// Requests by pipeline and outcome.
+    /// Requests, by pipeline and outcome.
     pub requests: Counter<u64>,
-    /// Time of requests, in milliseconds.
+    /// Latency of requests, in milliseconds.
     pub latency: Histogram<f64>,
-    /// Attempts by pool and end.
+    /// Attempts, by pool and result.
     pub attempts: Counter<u64>,
-    /// Calls that made results of stages, by end.
+    /// Batched calls for results of stages, by result.
     pub batches: Counter<u64>,
-    /// Prompts by where their target was chosen.
+    /// Prompts, by where their target was chosen.
     pub placements: Counter<u64>,
-    /// Bytes of results of stages that were fetched from other failure domains, by who fetched them.
+    /// Bytes of stage results fetched from other failure domains, by fetcher.
     pub moved_bytes: Counter<u64>,
     /// Requests that would be late in their region, by the other region and whether they were sent there.
     pub spills: Counter<u64>,
     /// Bytes sent to other regions, by kind.
     pub region_bytes: Counter<u64>,
-    /// Requests that fell to an arm of a trial, by whether they attained their aim.
+    /// Requests assigned to an arm of a trial, by whether they met their objective.
     pub trial_requests: Counter<u64>,
-    /// Milliseconds that those requests cost, by stage.
+    /// Cost of requests assigned to an arm of a trial, in milliseconds, by stage.
     pub trial_cost: Counter<u64>,
-    /// Time of stages and of first events as predicted, in hundredths of the time that they took.
+    /// Predicted time of stages and first events, in percent of the actual time.
     pub predicted_percent: Histogram<f64>,
-    /// Pieces in those calls, by end.
+    /// Work items in batched calls, by result.
     pub pieces: Counter<u64>,
-    /// Repeated chunks dropped.
+    /// Repeated chunks that were dropped.
     pub dropped_chunks: Counter<u64>,
     /// Requests that were quarantined.
     pub quarantined: Counter<u64>,
-    /// Changes of limits that targets name, by what changed.
+    /// Changes of the rate limits that targets announce, by kind of change.
     pub target_limits: Counter<u64>,
-    /// Times that targets have asked to back off, by service.
+    /// Backoff requests from targets, by service.
     pub backoffs: Counter<u64>,
-    /// Answers broken off, since their callers did not read them, by route.
+    /// Answers aborted because their callers did not read them, by route.
     pub unread: Counter<u64>,
-    /// Answers of other attempts dropped.
+    /// Discarded answers that belonged to other attempts.
     pub crossed: Counter<u64>,
     /// Generations resumed at their engine.
     pub resumes: Counter<u64>,
@@ -67,16 +68,16 @@
     pub heartbeats: Counter<u64>,
     /// Changes, by verdict.
     pub changes: Counter<u64>,
-    /// Requests to services with a roll-out, by whether they went to its version.
+    /// Requests to services with a roll-out, by whether they were sent to its version.
     pub rollout_sends: Counter<u64>,
-    /// Answers of services with a roll-out, by whether its version gave them.
+    /// Answers of services with a roll-out, by whether they came from its version.
     pub rollout_answers: Counter<u64>,
     /// Failure domains that are evacuated.
     pub evacuated_domains: UpDownCounter<i64>,
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments in a new registry.
     pub fn new() -> Metrics {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -91,7 +92,7 @@
             latency: meter
                 .f64_histogram("holdpoint_latency_ms")
                 .with_description("Time of requests in milliseconds")
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BOUNDS_MS.to_vec())
                 .build(),
             attempts: counter("holdpoint_attempts", "Attempts by pool and end"),
             batches: counter("holdpoint_batches", "Calls for results of stages by end"),
@@ -107,16 +108,19 @@
             predicted_percent: meter
                 .f64_histogram("holdpoint_predicted_percent")
                 .with_description(
-                    "Predicted times of stages and first events, in % of the true ones",
+                    "Predicted times of stages and first events, in % of the actual times",
                 )
-                .with_boundaries(PREDICTED_BOUNDS.to_vec())
+                .with_boundaries(PREDICTED_BOUNDS_PERCENT.to_vec())
                 .build(),
-            pieces: counter("holdpoint_pieces", "Pieces in calls for results of stages by end"),
+            pieces: counter("holdpoint_pieces", "Work items in calls for results of stages by end"),
             quarantined: counter("holdpoint_quarantined", "Requests that were quarantined"),
             target_limits: counter("holdpoint_target_limits", "Changes of limits of targets"),
             backoffs: counter("holdpoint_backoffs", "Times that targets asked to back off"),
             dropped_chunks: counter("holdpoint_dropped_chunks", "Repeated chunks dropped"),
-            unread: counter("holdpoint_unread", "Answers broken off as nobody read them"),
+            unread: counter(
+                "holdpoint_unread",
+                "Answers aborted as their callers did not read them",
+            ),
             crossed: counter("holdpoint_crossed", "Answers of other attempts dropped"),
             resumes: counter("holdpoint_resumes", "Generations resumed at their engine"),
             appends: counter("holdpoint_appends", "Appends to the log by stream"),
@@ -135,16 +139,16 @@
         }
     }
 
-    /// Takes in how long a step was predicted to take and took, in milliseconds, at a service with a load.
+    /// Records the predicted and the actual time of a step, in milliseconds, by the load of its service.
     pub fn predicted(&self, step: &str, load: &'static str, predicted_ms: f64, took_ms: f64) {
         let percent = 100.0 * predicted_ms / took_ms.max(1.0);
         self.predicted_percent.record(percent, &[label("step", step), label("load", load)]);
     }
 
-    /// All metrics in the Prometheus text form.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
-        // Only a broken writer fails here, and a vector is none.
+        // Writing to a vector does not fail.
         drop(TextEncoder::new().encode(&self.registry.gather(), &mut out));
         String::from_utf8(out).unwrap_or_default()
     }
--- a/crates/holdpointd/src/peers.rs
+++ b/crates/holdpointd/src/peers.rs
@@ -1,8 +1,7 @@
 //! RPC between instances: tarpc over TCP, encoded as CBOR.
 //!
-//! CBOR carries field names, so that instances of two versions can talk while one replaces the
-//! other: a field that one side does not know is passed over, and one that is absent has its
-//! default (see the tests).
+//! CBOR carries field names, so instances of different versions can communicate during an upgrade:
+//! unknown fields are ignored and absent fields take their defaults.
 
 use std::{
     collections::HashMap,
@@ -38,64 +37,68 @@
     metrics::{Metrics, label},
 };
 
-/// Largest message between peers, in bytes.
-const MAX_FRAME: usize = 64 << 20;
-/// How long a connection to a peer may take to be made.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Maximum size of a message between peers.
+const MAX_FRAME_BYTES: usize = 64 << 20;
+/// Time limit for connecting to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a peer is suspect after a call to it failed.
-const SUSPECT: Duration = Duration::from_millis(2000);
+/// Time for which a peer is suspect after a failed call.
+const SUSPECT_PERIOD: Duration = Duration::from_millis(2000);
 
-/// What instances ask of each other.
+/// Calls between instances.
 #[tarpc::service]
 pub trait Peers {
     /// Exchanges digests.
     async fn heartbeat(digest: Digest) -> Option<Digest>;
-    /// Asks the writer of a claim stream for a claim.
+    /// Requests a claim from the writer of a claim stream.
     async fn claim(ask: ClaimAsk) -> ClaimReply;
-    /// Asks the writer of a claim stream to record a release or an outcome.
+    /// Requests the writer of a claim stream to record a release or an outcome.
     async fn settle(settle: Settle) -> bool;
-    /// Asks for the peer's state.
+    /// Fetches a snapshot of the peer's state; `None` if it has none yet.
     async fn snapshot() -> Option<Snapshot>;
-    /// Asks for the peer's part of the reports, as JSON.
+    /// Fetches the peer's part of the reports, as JSON.
     async fn report() -> String;
 }
 
-/// Why a peer gave no answer.
+/// A call to a peer failed: no connection, an RPC error or a timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerSilent;
 
-/// Connections to peers, made when first needed.
+/// Connections to peers, opened on first use.
 #[derive(Clone)]
 pub struct PeerPool {
     clients: Arc<Mutex<HashMap<String, PeersClient>>>,
-    /// When a call to a peer last failed.
+    /// Time of the last failure, for peers whose last call failed.
     failed: Arc<Mutex<HashMap<String, Instant>>>,
     metrics: Arc<Metrics>,
 }
 
 impl PeerPool {
-    /// Makes a pool with no connections.
+    /// Creates a pool without connections.
     pub fn new(metrics: Arc<Metrics>) -> PeerPool {
         PeerPool { clients: Arc::default(), failed: Arc::default(), metrics }
     }
 
-    /// Whether a call to the peer failed so lately that another way, if there is one, is better.
+    /// Whether the last call to the peer failed recently, so that an alternative is preferable.
     pub fn is_suspect(&self, address: &str) -> bool {
-        self.failed.lock().get(address).is_some_and(|it| it.elapsed() < SUSPECT)
+        self.failed.lock().get(address).is_some_and(|it| it.elapsed() < SUSPECT_PERIOD)
     }
 
-    /// Makes a call to a peer. A call that fails closes the connection.
+    /// Calls a peer. A failed call closes the connection.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the peer cannot be reached or does not answer within the timeout after connecting.
     pub async fn call<T, F>(
         &self,
         address: &str,
-        limit: Duration,
+        timeout: Duration,
         call: impl FnOnce(PeersClient, context::Context) -> F,
     ) -> Result<T, PeerSilent>
     where
         F: Future<Output = Result<T, RpcError>>,
     {
-        let answer = self.try_call(address, limit, call).await;
+        let answer = self.try_call(address, timeout, call).await;
         match &answer {
             Ok(_) => drop(self.failed.lock().remove(address)),
             Err(PeerSilent) => drop(self.failed.lock().insert(address.to_owned(), Instant::now())),
@@ -106,7 +109,7 @@
     async fn try_call<T, F>(
         &self,
         address: &str,
-        limit: Duration,
+        timeout: Duration,
         call: impl FnOnce(PeersClient, context::Context) -> F,
     ) -> Result<T, PeerSilent>
     where
@@ -114,8 +117,8 @@
     {
         let client = self.client(address).await?;
         let mut context = context::current();
-        context.deadline = Instant::now() + limit;
-        let answer = tokio::time::timeout(limit, call(client, context)).await;
+        context.deadline = Instant::now() + timeout;
+        let answer = tokio::time::timeout(timeout, call(client, context)).await;
         if let Ok(Ok(it)) = answer {
             return Ok(it);
         }
@@ -127,10 +130,10 @@
         if let Some(it) = self.clients.lock().get(address) {
             return Ok(it.clone());
         }
-        let connect = tokio::time::timeout(CONNECT, TcpStream::connect(address));
+        let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let stream = connect.await.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)?;
         stream.set_nodelay(true).map_err(|_| PeerSilent)?;
-        let framed = framed(Counted { stream, metrics: self.metrics.clone() });
+        let framed = framed(CountedStream { stream, metrics: self.metrics.clone() });
         let io = transport(framed, Cbor::default());
         let client = PeersClient::new(client::Config::default(), io).spawn();
         self.clients.lock().insert(address.to_owned(), client.clone());
@@ -138,7 +141,7 @@
     }
 }
 
-/// Serves peers until the task is dropped.
+/// Serves calls of peers until the task is dropped.
 pub(crate) async fn serve(
     listener: TcpListener,
     control: mpsc::Sender<Input>,
@@ -151,7 +154,7 @@
             continue;
         }
         let io: Transport<_, _, _, _> =
-            transport(framed(Counted { stream, metrics: metrics.clone() }), Cbor::default());
+            transport(framed(CountedStream { stream, metrics: metrics.clone() }), Cbor::default());
         let server = PeerServer { control: control.clone(), report: report.clone() };
         let channel = BaseChannel::with_defaults(io);
         tokio::spawn(channel.execute(server.serve()).for_each(|it| async move {
@@ -160,8 +163,8 @@
     }
 }
 
-fn framed(stream: Counted) -> Framed<Counted, LengthDelimitedCodec> {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_framed(stream)
+fn framed(stream: CountedStream) -> Framed<CountedStream, LengthDelimitedCodec> {
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
 
 #[derive(Clone)]
@@ -171,7 +174,7 @@
 }
 
 impl PeerServer {
-    async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
+    async fn ask_control<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.control.send(input(reply)).await.ok()?;
         answer.await.ok()
@@ -180,19 +183,19 @@
 
 impl Peers for PeerServer {
     async fn heartbeat(self, _: context::Context, digest: Digest) -> Option<Digest> {
-        self.ask(|reply| Input::Heartbeat { digest, reply }).await
+        self.ask_control(|reply| Input::Heartbeat { digest, reply }).await
     }
 
     async fn claim(self, _: context::Context, ask: ClaimAsk) -> ClaimReply {
-        self.ask(|reply| Input::Claim { ask, reply }).await.unwrap_or(ClaimReply::Silent)
+        self.ask_control(|reply| Input::Claim { ask, reply }).await.unwrap_or(ClaimReply::Silent)
     }
 
     async fn settle(self, _: context::Context, settle: Settle) -> bool {
-        self.ask(|reply| Input::Settle { settle, reply }).await.unwrap_or(false)
+        self.ask_control(|reply| Input::Settle { settle, reply }).await.unwrap_or(false)
     }
 
     async fn snapshot(self, _: context::Context) -> Option<Snapshot> {
-        self.ask(|reply| Input::Snapshot { reply }).await.flatten()
+        self.ask_control(|reply| Input::Snapshot { reply }).await.flatten()
     }
 
     async fn report(self, _: context::Context) -> String {
@@ -200,14 +203,14 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A connection that counts its bytes.
 #[derive(Debug)]
-struct Counted {
+struct CountedStream {
     stream: TcpStream,
     metrics: Arc<Metrics>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -221,7 +224,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/holdpointd/src/settings.rs
+++ b/crates/holdpointd/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: JSON with comments, checked as a whole before anything starts.
+//! Loads settings from JSON with comments. All faults are collected and reported together before anything
+//! starts.
 
 use std::{fmt, fs, path::Path};
 
@@ -18,7 +19,7 @@
         /// What is wrong and where, by line and column.
         text: String,
     },
-    /// The values are not valid: every fault, with its path.
+    /// The values are not valid; holds every fault with its path.
     Faults(Vec<Fault>),
 }
 
@@ -37,24 +38,40 @@
 
 impl std::error::Error for FileError {}
 
-/// Reads settings from a file.
+/// Reads and checks the settings of an instance.
+///
+/// # Errors
+///
+/// Fails if the file cannot be read, is not JSON with comments or has invalid values.
 pub fn load(path: &Path) -> Result<Settings, Report<FileError>> {
     check(&read_jsonc(path)?)
 }
 
 /// Reads a file of JSON with comments.
+///
+/// # Errors
+///
+/// Fails if the file cannot be read or parsed.
 pub fn read_jsonc(path: &Path) -> Result<Value, Report<FileError>> {
     let text = fs::read_to_string(path).change_context(FileError::Read)?;
     parse_jsonc(&text)
 }
 
-/// Reads a text of JSON with comments.
+/// Parses JSON with comments.
+///
+/// # Errors
+///
+/// Fails with [`FileError::Syntax`].
 pub fn parse_jsonc(text: &str) -> Result<Value, Report<FileError>> {
     parse_to_serde_value(text, &ParseOptions::default())
         .map_err(|it| Report::new(FileError::Syntax { text: it.to_string() }))
 }
 
-/// Checks settings: their form by the schema, then what holds between them.
+/// Checks settings against the schema, then the constraints between fields.
+///
+/// # Errors
+///
+/// Fails with every fault that was found.
 pub fn check(value: &Value) -> Result<Settings, Report<FileError>> {
     let mut found = faults(Part::Settings, value);
     if found.is_empty() {
@@ -68,7 +85,11 @@
     Err(Report::new(FileError::Faults(found)))
 }
 
-/// Reads the settings of an ingress instance from a file.
+/// Reads and checks the settings of an ingress instance.
+///
+/// # Errors
+///
+/// As [`load`].
 pub fn load_ingress(path: &Path) -> Result<IngressSettings, Report<FileError>> {
     let value = read_jsonc(path)?;
     let found = faults(Part::Ingress, &value);
@@ -79,13 +100,13 @@
         .map_err(|it| Report::new(FileError::Syntax { text: it.to_string() }))
 }
 
-/// Keys that sign and verify resume tokens.
+/// Keys for signing and verifying resume tokens.
 pub fn token_keys(settings: &Settings) -> Vec<TokenKey> {
     let keys = settings.resume_keys.iter();
     keys.map(|it| TokenKey { id: it.id, secret: it.secret.clone().into_bytes() }).collect()
 }
 
-/// One line for one fault.
+/// Formats a fault as one line.
 pub fn fault_line(fault: &Fault) -> String {
     let path = if fault.path.is_empty() { "/" } else { &fault.path };
     format!("{path}: {}", fault.text)
@@ -97,11 +118,11 @@
     let mut fault = |path: &str, text: &str| {
         found.push(Fault { path: path.to_owned(), text: text.to_owned() });
     };
-    // A claim must outlive its key by a margin: a key is refused before its claim can expire.
+    // A key must be refused before its claim can expire from the log.
     if timing.retention_ms < 2 * (timing.claim_window_ms + timing.skew_ms) {
         fault("/timing/claim_window_ms", "must be below half of retention_ms, less skew_ms");
     }
-    // Only an instance that has isolated itself may be declared gone.
+    // An instance isolates itself after `confirm_ms`; its peers must not declare it stopped before that.
     if timing.dead_ms < timing.confirm_ms {
         fault("/timing/dead_ms", "must not be below confirm_ms");
     }
--- a/crates/holdpointd/src/shared.rs
+++ b/crates/holdpointd/src/shared.rs
@@ -1,4 +1,5 @@
-//! What the control thread and the traffic threads share.
+//! State shared by the control thread and the traffic threads. The control thread publishes immutable
+//! snapshots of its state, which requests read without locks.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,27 +22,27 @@
 
 use crate::{control::Input, metrics::Metrics, peers::PeerPool, traffic::Traffic};
 
-/// Control state as the traffic threads see it: one of these serves a request from start to end.
+/// Snapshot of control state for the traffic threads. A request uses one snapshot from start to end.
 #[derive(Clone, Debug)]
 pub struct Published {
-    /// Phase of the instance's life.
+    /// Lifecycle phase of the instance.
     pub phase: Phase,
-    /// Offset in force.
+    /// Offset of the log up to which records are applied.
     pub offset: Offset,
     /// Typed resources.
     pub catalog: Catalog,
-    /// Targets by pool, declared and listed.
+    /// Targets by pool: declared ones and those in the platform's list.
     pub targets: Arc<BTreeMap<Name, Arc<Vec<Member>>>>,
     /// Writer of each claim stream: its peer address, or `None` for this instance.
     pub claim_writers: Arc<Vec<Option<String>>>,
-    /// Instances known.
+    /// Known instances.
     pub instances: Arc<Vec<InstanceStatus>>,
     /// Peer addresses of the other live instances.
     pub peers: Arc<Vec<String>>,
 }
 
 impl Published {
-    /// What is in force before anything is known.
+    /// State before anything has been read from the log.
     pub fn new() -> Published {
         Published {
             phase: Phase::Starting,
@@ -61,7 +62,7 @@
     }
 }
 
-/// What all threads of one instance share.
+/// State shared by all threads of one instance.
 pub struct Shared {
     /// Settings.
     pub settings: Settings,
@@ -69,88 +70,88 @@
     pub clock: Clock,
     /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Keys of resume tokens.
+    /// Keys for resume tokens.
     pub token_keys: Vec<TokenKey>,
-    /// Control state in force.
+    /// Current control state.
     pub published: ArcSwap<Published>,
-    /// Way to the control thread.
+    /// Sender of inputs to the control thread.
     pub(crate) control: mpsc::Sender<Input>,
     /// HTTP client.
     pub http: Http,
     /// Log client.
     pub log: LogClient,
-    /// Client of plain targets.
+    /// Client for plain targets.
     pub targets: TargetClient,
-    /// Client of engines.
+    /// Client for engines.
     pub engines: EngineClient,
     /// Connections to peers.
     pub peers: PeerPool,
     /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// Time until which the head of the log counts as confirmed. The traffic threads look at it
-    /// themselves: after a pause they may run before the control thread does.
+    /// Time until which the head of the log counts as confirmed, in milliseconds of the clock. The traffic
+    /// threads check it themselves, since after a pause they may run before the control thread does.
     pub serve_until: AtomicU64,
     /// Whether a planned stop has begun.
     pub is_leaving: AtomicBool,
-    /// Work in flight.
+    /// Requests in flight.
     pub in_flight: Arc<InFlight>,
-    /// Becomes true once streams are to be handed over.
+    /// Set to true when streams must be handed over.
     pub hand_over: watch::Sender<bool>,
     /// State of the traffic threads.
     pub traffic: Traffic,
-    /// Next request sequence.
+    /// Next sequence number of a request.
     pub calls: AtomicU64,
 }
 
 impl Shared {
-    /// Control state in force now.
+    /// Current control state.
     pub fn now(&self) -> Arc<Published> {
         self.published.load_full()
     }
 
-    /// Whether new work may be taken now.
+    /// Whether new requests may be accepted.
     pub fn may_serve(&self, published: &Published) -> bool {
         let until = self.serve_until.load(Ordering::Acquire);
         published.phase == Phase::Ready && self.clock.now() <= until
     }
 
-    /// Whether the balancer may send work here.
+    /// Whether the load balancer may send requests to this instance.
     pub fn is_ready(&self, published: &Published) -> bool {
         !self.is_leaving.load(Ordering::Acquire) && self.may_serve(published)
     }
 
-    /// Next request sequence.
+    /// Takes the next sequence number of a request.
     pub fn next_call(&self) -> u64 {
         self.calls.fetch_add(1, Ordering::Relaxed)
     }
 }
 
-/// Counts work in flight, so that a planned stop can wait for it.
+/// Counts requests in flight, so that a planned stop can wait for them.
 #[derive(Debug, Default)]
 pub struct InFlight {
     count: AtomicUsize,
     ended: Notify,
 }
 
-/// One piece of work in flight; it ends when dropped.
+/// Counts one request as in flight until dropped.
 #[derive(Debug)]
 pub struct Working {
     in_flight: Arc<InFlight>,
 }
 
 impl InFlight {
-    /// Counts a piece of work.
+    /// Counts a request as in flight.
     pub fn start(self: &Arc<Self>) -> Working {
         self.count.fetch_add(1, Ordering::AcqRel);
         Working { in_flight: self.clone() }
     }
 
-    /// Pieces of work in flight.
+    /// Number of requests in flight.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Acquire)
     }
 
-    /// Waits until nothing is in flight.
+    /// Waits until no request is in flight.
     pub async fn idle(&self) {
         loop {
             let ended = self.ended.notified();
@@ -171,7 +172,7 @@
     }
 }
 
-/// Members of a pool by its name, or none.
+/// Members of a pool; empty if the pool is unknown.
 pub(crate) fn members_of(
     targets: &BTreeMap<Name, Arc<Vec<Member>>>,
     pool: &str,
@@ -179,7 +180,7 @@
     targets.get(pool).cloned().unwrap_or_default()
 }
 
-/// A map from names to state made when first asked for.
+/// A map from names to values created on first use.
 #[derive(Debug)]
 pub(crate) struct Lazy<T> {
     map: parking_lot::RwLock<HashMap<Name, Arc<T>>>,
@@ -192,7 +193,7 @@
 }
 
 impl<T> Lazy<T> {
-    /// State of a name.
+    /// Returns the value of a name and creates it if absent.
     pub(crate) fn of(&self, name: &str, make: impl FnOnce() -> T) -> Arc<T> {
         if let Some(it) = self.map.read().get(name) {
             return it.clone();
@@ -200,13 +201,13 @@
         self.map.write().entry(name.to_owned()).or_insert_with(|| Arc::new(make())).clone()
     }
 
-    /// All names with their state.
+    /// All names with their values.
     pub(crate) fn all(&self) -> Vec<(Name, Arc<T>)> {
         self.map.read().iter().map(|(name, it)| (name.clone(), it.clone())).collect()
     }
 }
 
-/// Waits until a flag is raised, or its owner is gone.
+/// Waits until a flag is true or its sender is dropped.
 pub(crate) async fn raised(flag: &mut watch::Receiver<bool>) {
     drop(flag.wait_for(|it| *it).await);
 }
