--- a/crates/holdpointd/src/control/claim_stream.rs
+++ b/crates/holdpointd/src/control/claim_stream.rs
@@ -29,7 +29,7 @@
 }
 
 /// A call that waits for the state of its key.
-struct PendingAsk {
+struct PendingClaim {
     key: ClaimKey,
     body_hash: String,
     requester: Claimant,
@@ -46,7 +46,7 @@
     table: ClaimTable,
     batcher: Batcher<QueuedEntry>,
     append_replies: Vec<oneshot::Sender<bool>>,
-    pending_asks: Vec<PendingAsk>,
+    pending_claims: Vec<PendingClaim>,
     /// Whether the table contains all records up to the head of the stream when it was first followed.
     is_caught_up: bool,
     seq: u64,
@@ -64,7 +64,7 @@
             table: ClaimTable::new(settings.timing.claim_window_ms),
             batcher: Batcher::new(interval, settings.claims.batch as usize),
             append_replies: Vec::new(),
-            pending_asks: Vec::new(),
+            pending_claims: Vec::new(),
             is_caught_up: false,
             seq: 0,
             last_used: shared.clock.now(),
@@ -82,7 +82,7 @@
     ) {
         let now = self.shared.clock.now();
         self.last_used = now;
-        let pending = PendingAsk {
+        let pending = PendingClaim {
             key,
             body_hash: ask.body_hash,
             requester: Claimant { incarnation: ask.claimant, call: ask.call },
@@ -92,7 +92,7 @@
             first_held: None,
             is_outcome_queued: false,
         };
-        self.pending_asks.push(pending);
+        self.pending_claims.push(pending);
         self.answer_pending(now, view);
         self.append_next(now);
     }
@@ -136,7 +136,7 @@
     }
 
     pub(crate) fn is_idle(&self, now: Millis, idle_ms: Millis) -> bool {
-        let is_quiet = self.pending_asks.is_empty()
+        let is_quiet = self.pending_claims.is_empty()
             && self.batcher.is_empty()
             && self.append_replies.is_empty();
         is_quiet && self.batcher.is_settled() && self.last_used + idle_ms < now
@@ -144,22 +144,22 @@
 
     /// Answers calls whose key has a final state or whose deadline has passed.
     fn answer_pending(&mut self, now: Millis, view: &View) {
-        for pending in std::mem::take(&mut self.pending_asks) {
+        for pending in std::mem::take(&mut self.pending_claims) {
             if pending.reply.is_closed() {
                 continue;
             }
             if let Some(pending) = self.check_pending(pending, now, view) {
-                self.pending_asks.push(pending);
+                self.pending_claims.push(pending);
             }
         }
     }
 
     fn check_pending(
         &mut self,
-        mut pending: PendingAsk,
+        mut pending: PendingClaim,
         now: Millis,
         view: &View,
-    ) -> Option<PendingAsk> {
+    ) -> Option<PendingClaim> {
         let is_expired = pending.deadline <= now;
         if !self.is_caught_up {
             return answer_if_expired(pending, is_expired, ClaimReply::Silent);
@@ -191,7 +191,7 @@
     /// stopped or this call has waited for it for `dead_ms`.
     fn end_if_gone(
         &mut self,
-        pending: &mut PendingAsk,
+        pending: &mut PendingClaim,
         holder: &Claimant,
         now: Millis,
         view: &View,
@@ -233,21 +233,21 @@
     }
 }
 
-fn entry(pending: &PendingAsk, claimant: &Claimant, step: ClaimStep) -> QueuedEntry {
+fn entry(pending: &PendingClaim, claimant: &Claimant, step: ClaimStep) -> QueuedEntry {
     let (key, claimant, call) = (pending.key.clone(), claimant.incarnation.clone(), claimant.call);
     QueuedEntry { entry: ClaimEntry { key, claimant, call, step }, reply: None }
 }
 
-fn answer(pending: PendingAsk, reply: ClaimReply) -> Option<PendingAsk> {
+fn answer(pending: PendingClaim, reply: ClaimReply) -> Option<PendingClaim> {
     // The requester may have cancelled the call; its instance then releases the claim.
     drop(pending.reply.send(reply));
     None
 }
 
 fn answer_if_expired(
-    pending: PendingAsk,
+    pending: PendingClaim,
     is_expired: bool,
     reply: ClaimReply,
-) -> Option<PendingAsk> {
+) -> Option<PendingClaim> {
     if is_expired { answer(pending, reply) } else { Some(pending) }
 }
--- a/crates/holdpointd/src/control/exchange.rs
+++ b/crates/holdpointd/src/control/exchange.rs
@@ -184,10 +184,10 @@
         self.confirm_by_peer(&digest, asked_at);
     }
 
-    /// Extends the time to serve by a peer's digest, in two cases. First, the log confirmed the head to the peer
-    /// and this instance has applied everything up to it. Second, the log is silent here, the peer has
-    /// no recent confirmation either, and this instance with the neighbours that answer is a majority: no change
-    /// can be accepted without one of them, so none can be active elsewhere.
+    /// Extends the time to serve by a peer's digest, in two cases. First, the log confirmed the head to the
+    /// peer, and this instance has applied everything up to it. Second, the log is silent here, the peer has
+    /// no recent confirmation either, and this instance with the neighbours that answer is a majority: no
+    /// change can be accepted without one of them, so none can be active elsewhere.
     fn confirm_by_peer(&mut self, digest: &Digest, asked_at: Millis) {
         if self.state.offset() < digest.head {
             return;
--- a/crates/holdpointd/src/settings.rs
+++ b/crates/holdpointd/src/settings.rs
@@ -1,5 +1,5 @@
-//! Loads settings from JSON with comments. All faults are collected and reported together before anything
-//! starts.
+//! Loads settings from JSON with comments and checks them before anything starts. The schema is checked
+//! first, then the constraints between fields; each check reports all of its faults.
 
 use std::{fmt, fs, path::Path};
 
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 ///
-/// Fails with every fault that was found.
+/// Fails with every fault against the schema or, if there is none, with every violated constraint.
 pub fn check(value: &Value) -> Result<Settings, Report<FileError>> {
     let mut found = faults(Part::Settings, value);
     if found.is_empty() {
