--- a/crates/holdpointd/tests/confinement.rs
+++ b/crates/holdpointd/tests/confinement.rs
@@ -1,5 +1,5 @@
-//! Routes and organisations that are confined to regions: where their requests run, what becomes of
-//! those that no region serves, and how a change takes effect.
+//! Routes and organisations that are confined to regions: requests, work items and results must never be outside
+//! the allowed regions, also after a change of the configuration.
 
 mod support;
 
@@ -15,7 +15,7 @@
 
 use crate::support::{System, header, start_at, start_in, story, until};
 
-/// The sample with routes, by their index, and the organisation confined to regions.
+/// The sample configuration with some routes, given by index, and the organisation confined to regions.
 fn confined(version: u64, routes: &[(usize, &[&str])], organisation: Option<&[&str]>) -> Value {
     let mut configuration = sample_configuration(version);
     for (route, regions) in routes {
@@ -27,12 +27,13 @@
     configuration
 }
 
+// Indices of routes in the sample configuration.
 const SAFE: usize = 0;
 const UNSAFE: usize = 2;
 const STORY: usize = 4;
 const STAGED: usize = 6;
 
-/// An instance in region east, which has the first target of each service; those after it are in north.
+/// Starts an instance in region east. The first target of each service is in east, the others are in north.
 async fn two_regions(plain: &[Behaviour], engines: &[Behaviour]) -> System {
     let domain = |index| if index == 0 { "z1" } else { "z2" };
     start_at(|gate| start_in("a", "east", "z1", gate), domain, plain, engines).await
@@ -52,14 +53,14 @@
     encoder
 }
 
-/// What an instance has counted under a name with a label, which is part of the line.
-async fn counted(instance: &Ingress, name: &str, labelled: &str) -> f64 {
+/// Sum of the metric lines of an instance that start with `name` and contain `label`.
+async fn metric_sum(instance: &Ingress, name: &str, label: &str) -> f64 {
     let address = instance.listen().metrics.parse().unwrap();
     let request = CallerRequest::new("metrics", "/metrics").with_method(http::Method::GET);
-    let answer = call(address, request).await.expect("the metrics are shown");
+    let answer = call(address, request).await.expect("the metrics endpoint answers");
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
-    let its = text.lines().filter(|it| it.starts_with(name) && it.contains(labelled));
-    its.filter_map(|it| it.rsplit(' ').next()?.parse::<f64>().ok()).sum()
+    let lines = text.lines().filter(|it| it.starts_with(name) && it.contains(label));
+    lines.filter_map(|it| it.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
 #[tokio::test]
@@ -84,8 +85,8 @@
 #[tokio::test]
 async fn a_request_whose_regions_cannot_serve_it_is_refused_at_once_as_not_run() {
     let system = two_regions(&[Behaviour::Answer; 2], &[Behaviour::Events(2); 2]).await;
-    // The route and the organisation bind together; a region that nobody knows has no targets; an
-    // empty list allows none.
+    // A request must meet the limits of its route and of its organisation. An unknown region has no targets, and an
+    // empty list allows no region.
     let routes: [(usize, &[&str]); 3] = [(SAFE, &["north"]), (UNSAFE, &["moon"]), (STORY, &[])];
     configure(&system, confined(2, &routes, Some(&["east"]))).await;
     for path in ["/safe/", "/unsafe/", "/story/"] {
@@ -93,10 +94,10 @@
         let answer = system.ask(&format!("r-{path}"), path).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
         assert!(!header(&answer, "retry-after").is_empty());
-        assert!(begun.elapsed() < Duration::from_millis(1500), "well before its deadline");
+        assert!(begun.elapsed() < Duration::from_millis(1500), "the refusal took too long");
     }
     assert_eq!(system.plain_runs() + system.engine_runs(), 0);
-    // A route that is not confined by itself is by its organisation; one without a key is not.
+    // Routes without limits of their own: the organisation's limits apply, unless the route needs no key.
     assert_eq!(system.ask("r-open", "/open/").await.status, StatusCode::OK);
     assert_eq!(system.ask("r-once", "/once/").await.status, StatusCode::OK);
     assert_eq!(system.engines[1].runs().len(), 0);
@@ -125,17 +126,17 @@
     assert_eq!(system.encoder.batches().len(), 0);
     assert_ne!(far.batches().len(), 0);
     assert_eq!(system.engines[0].runs().len(), 0);
-    let made = far.batches().len();
+    let before = far.batches().len();
     system.store.drop_target("i-encode-2");
     until(|| system.instance.target_count() == 3).await;
     let answer = system.send(CallerRequest::new("r-x", "/staged/").with_pieces("1,1")).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!header(&answer, "retry-after").is_empty());
-    assert_eq!((far.batches().len(), system.encoder.batches().len()), (made, 0));
+    assert_eq!((far.batches().len(), system.encoder.batches().len()), (before, 0));
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_goes_on_in_its_regions_or_not_at_all() {
+async fn a_broken_stream_is_resumed_only_in_allowed_regions() {
     let engines = [Behaviour::Events(4), Behaviour::BreakAfter(2)];
     let system = two_regions(&[], &engines).await;
     configure(&system, confined(2, &[(STORY, &["north"])], None)).await;
@@ -151,29 +152,33 @@
     }
 }
 
-/// The first stage is made in the region that is forbidden then, and the second waits there.
+/// The first stage has run in the region that becomes forbidden, and the second is queued there.
 #[tokio::test]
-async fn what_is_queued_is_withdrawn_when_its_region_is_forbidden_and_made_anew() {
+async fn queued_items_are_withdrawn_when_their_region_becomes_forbidden() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
     system.encoder.set_behaviour(Behaviour::DeclinePieces);
     let request = CallerRequest::new("r-1", "/staged/").with_pieces("1,1");
     let callers = system.callers();
     let waiting = tokio::spawn(call(callers, request));
     until(|| system.encoder.declined() != 0).await;
-    let made = system.encoder.batches().len();
+    let before = system.encoder.batches().len();
     configure(&system, confined(2, &[(STAGED, &["north"])], None)).await;
     system.encoder.set_behaviour(Behaviour::Answer);
     let far = Target::start("i-encode-2", "encode", Behaviour::Answer).await;
     system.store.put_target_in(&far, "z2", 0);
-    // Its regions have no target at that moment or have one: it is refused or served there.
+    // The request is served if the new target is known in time, and refused otherwise.
     let answer = waiting.await.unwrap().expect("there is an answer");
-    assert_eq!(system.encoder.batches().len(), made, "nothing new where it is forbidden");
+    assert_eq!(
+        system.encoder.batches().len(),
+        before,
+        "the encoder in the forbidden region got a call"
+    );
     assert_eq!(system.engines[0].runs().len(), 0);
     assert_eq!(answer.status == StatusCode::OK, system.engines[1].runs().len() == 1);
 }
 
 #[tokio::test]
-async fn what_is_queued_moves_to_where_it_is_allowed() {
+async fn queued_items_move_to_an_allowed_region() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
     configure(&system, confined(2, &[(STAGED, &["east"])], None)).await;
     let far = encoder_in(&system, "i-encode-2", "z2").await;
@@ -186,7 +191,7 @@
     configure(&system, confined(3, &[(STAGED, &["north"])], None)).await;
     let answer = waiting.await.unwrap().expect("there is an answer");
     assert_eq!(answer.status, StatusCode::OK);
-    // Both stages, the first of them anew.
+    // Both stages, as the first is run again.
     assert_eq!(far.batches().len(), 2);
     assert_eq!((system.engines[0].runs().len(), system.engines[1].runs().len()), (0, 1));
     until(|| !system.encoder.freed().is_empty()).await;
@@ -203,27 +208,27 @@
     configure(&system, confined(2, &[(STAGED, &["north"]), (STORY, &["north"])], None)).await;
     until(|| north.version() == 2).await;
     let staged = |id: &str| CallerRequest::new(id, "/staged/").with_pieces("1,1");
-    let told = |id: &str| CallerRequest::new(id, "/story/").with_prompt("a1:1000,b2:100");
+    let streamed = |id: &str| CallerRequest::new(id, "/story/").with_prompt("a1:1000,b2:100");
     for id in 0..5 {
         assert_eq!(system.send(staged(&format!("r-{id}"))).await.status, StatusCode::OK);
-        assert_eq!(system.send(told(&format!("s-{id}"))).await.status, StatusCode::OK);
+        assert_eq!(system.send(streamed(&format!("s-{id}"))).await.status, StatusCode::OK);
     }
-    let pieces = |it| counted(it, "holdpoint_pieces", "answered");
-    assert_eq!((pieces(&system.instance).await, pieces(&north).await), (0.0, 10.0));
-    let placed = |by| counted(&system.instance, "holdpoint_placements", by);
+    let item_count = |it| metric_sum(it, "holdpoint_pieces", "answered");
+    assert_eq!((item_count(&system.instance).await, item_count(&north).await), (0.0, 10.0));
+    let placed = |by| metric_sum(&system.instance, "holdpoint_placements", by);
     assert_eq!(placed("peer").await, 5.0);
-    // Confined to the region in which the caller's instance stands, that one does it.
+    // Confined to the region of the first instance, the work is done by that instance.
     configure(&system, confined(3, &[(STAGED, &["east"]), (STORY, &["east"])], None)).await;
-    let (made, before) = (far.batches().len(), system.encoder.batches().len());
+    let (far_before, before) = (far.batches().len(), system.encoder.batches().len());
     until(|| north.version() == 3).await;
     let callers = north.listen().callers.parse().unwrap();
     let answer = call(callers, staged("r-far")).await.expect("there is an answer");
     assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(pieces(&system.instance).await, 2.0);
-    assert_eq!((far.batches().len(), system.encoder.batches().len()), (made, before + 2));
+    assert_eq!(item_count(&system.instance).await, 2.0);
+    assert_eq!((far.batches().len(), system.encoder.batches().len()), (far_before, before + 2));
 }
 
-/// A result that waits for a later stage is kept where that is forbidden now.
+/// A result that waits for a later stage is stored at a target whose region has become forbidden.
 #[tokio::test]
 async fn results_that_are_held_outside_are_given_up_and_made_anew() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
@@ -244,12 +249,16 @@
     configure(&system, with_graph(3, "north")).await;
     let answer = waiting.await.unwrap().expect("there is an answer");
     assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(far.batches().iter().map(Vec::len).sum::<usize>(), 4, "all stages");
+    assert_eq!(
+        far.batches().iter().map(Vec::len).sum::<usize>(),
+        4,
+        "every stage runs in the allowed region"
+    );
     until(|| system.encoder.freed().len() == 2).await;
 }
 
 #[tokio::test]
-async fn nothing_is_made_for_a_request_one_of_whose_stages_has_no_target_in_its_regions() {
+async fn no_stage_runs_if_one_has_no_target_in_the_allowed_regions() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
     let far = encoder_in(&system, "i-encode-2", "z2").await;
     let check = Target::start("i-check", "check", Behaviour::Answer).await;
@@ -258,27 +267,27 @@
     let mut configuration = confined(2, &[(STAGED, &["north"])], None);
     set_stages(&mut configuration, STAGED, &[("encode", &[]), ("check", &[0])]);
     configure(&system, configuration).await;
-    let staged = |id, pieces| system.send(CallerRequest::new(id, "/staged/").with_pieces(pieces));
+    let staged = |id, items| system.send(CallerRequest::new(id, "/staged/").with_pieces(items));
     let answer = staged("r-1", "1,1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(header(&answer, "retry-after"), "1.00");
-    let made = || [&far, &check, &system.encoder].map(|it| it.batches().len());
-    assert_eq!(made(), [0, 0, 0]);
-    // One that leaves the stage out is served.
+    let batch_counts = || [&far, &check, &system.encoder].map(|it| it.batches().len());
+    assert_eq!(batch_counts(), [0, 0, 0]);
+    // A request without items for that stage is served.
     assert_eq!(staged("r-2", "1,0").await.status, StatusCode::OK);
-    assert_eq!(made(), [1, 0, 0]);
+    assert_eq!(batch_counts(), [1, 0, 0]);
 }
 
-/// A peer of a version that knows nothing of confinement would do the work anywhere.
+/// A peer of a version without confinement could run the work in any region.
 #[tokio::test]
-async fn confined_work_is_not_given_to_a_peer_that_would_not_keep_it_inside() {
+async fn confined_work_is_not_handed_to_a_peer_without_confinement() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
     let far = encoder_in(&system, "i-encode-2", "z2").await;
     let gate = system.store.open_gate().await;
     let north = start_in("b", "north", "z2", &gate);
     until(|| north.is_ready() && north.target_count() == 4).await;
     until(|| system.instance.peer_count() == 1).await;
-    // Under another name, far stronger, and with the protocol of before.
+    // The same peer under another name, with much more capacity and the previous protocol version.
     let address = &north.listen().peers;
     system.store.put_instance("old", &format!("{address} 1 8000 8000 1 z2"));
     until(|| system.instance.peer_count() == 2).await;
@@ -286,7 +295,7 @@
     until(|| north.version() == 2).await;
     let answer = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("1,1")).await;
     assert_eq!(answer.status, StatusCode::OK);
-    let pieces = |it| counted(it, "holdpoint_pieces", "answered");
-    assert_eq!((pieces(&system.instance).await, pieces(&north).await), (2.0, 0.0));
+    let item_count = |it| metric_sum(it, "holdpoint_pieces", "answered");
+    assert_eq!((item_count(&system.instance).await, item_count(&north).await), (2.0, 0.0));
     assert_eq!((far.batches().len(), system.encoder.batches().len()), (2, 0));
 }
--- a/crates/holdpointd/tests/domains.rs
+++ b/crates/holdpointd/tests/domains.rs
@@ -1,5 +1,4 @@
-//! Failure domains that operators evacuate, and targets that come back cold: what targets and callers
-//! see.
+//! Evacuated failure domains must get no new work, and targets that start cold no more than their limited rate.
 
 mod support;
 
@@ -13,7 +12,7 @@
 
 use crate::support::{System, header, start, start_instance, story, until};
 
-/// A system whose first plain target and first engine stand in a failure domain of their own.
+/// Starts a system whose first plain target and first engine are in failure domain z2, all others in z1.
 async fn two_domains(engines: &[Behaviour]) -> System {
     let system = start(&[Behaviour::Answer, Behaviour::Answer], engines).await;
     system.store.put_target_in(&system.plain[0], "z2", 0);
@@ -47,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_under_way_ends_whole_and_the_next_one_goes_elsewhere() {
+async fn a_running_stream_completes_and_new_ones_avoid_the_evacuated_domain() {
     let system = two_domains(&[Behaviour::Events(40)]).await;
     let request = CallerRequest::new("r-1", "/story/").with_prompt("p:100");
     let callers = system.callers();
@@ -64,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_does_not_go_on_in_an_evacuated_domain() {
+async fn a_broken_stream_is_not_resumed_in_an_evacuated_domain() {
     let system = two_domains(&[Behaviour::Events(3), Behaviour::BreakAfter(2)]).await;
     evacuate(&system, "z2", 3).await;
     let answer = system.ask("r-1", "/story/").await;
@@ -73,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn pieces_are_not_made_in_an_evacuated_domain_and_are_refused_at_once_where_none_is_left() {
+async fn items_avoid_evacuated_domains_and_are_refused_at_once_without_a_target() {
     let system = start(&[], &[Behaviour::Events(2)]).await;
     let other = Target::start("i-encode-2", "encode", Behaviour::Answer).await;
     system.store.put_target_in(&other, "z2", 0);
@@ -87,17 +86,17 @@
     assert_eq!(other.batches().len(), 0);
     system.store.put_target_in(&system.encoder, "z3", 0);
     evacuate(&system, "z3", 1).await;
-    let made = system.encoder.batches().len();
+    let before = system.encoder.batches().len();
     let begun = std::time::Instant::now();
     let answer = system.send(staged("r-last")).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!header(&answer, "retry-after").is_empty());
-    assert!(begun.elapsed() < Duration::from_millis(1500), "well before its deadline");
-    assert_eq!(system.encoder.batches().len(), made);
+    assert!(begun.elapsed() < Duration::from_millis(1500), "the refusal took too long");
+    assert_eq!(system.encoder.batches().len(), before);
 }
 
 #[tokio::test]
-async fn pieces_that_wait_are_refused_at_once_when_their_last_target_is_evacuated() {
+async fn waiting_items_are_refused_at_once_when_their_last_target_is_evacuated() {
     let system = start(&[], &[Behaviour::Events(2)]).await;
     system.encoder.set_behaviour(Behaviour::DeclinePieces);
     let request = CallerRequest::new("r-1", "/staged/").with_pieces("1,1");
@@ -119,12 +118,12 @@
     let seeds = [system.instance.listen().peers.clone()];
     let started = support::start_with_seeds("b", &gate, &seeds);
     until(|| started.is_ready()).await;
-    assert_eq!(started.open_count(), 2, "at the moment at which it is ready");
+    assert_eq!(started.open_count(), 2, "evacuation unknown to an instance that is ready");
     assert_eq!(started.target_count(), 3);
 }
 
 #[tokio::test]
-async fn an_order_withdrawn_while_an_instance_is_cut_off_ends_after_the_cut() {
+async fn an_evacuation_withdrawn_during_a_store_outage_ends_after_it() {
     let system = two_domains(&[]).await;
     let gate = system.store.open_gate().await;
     let other = start_instance("b", &gate);
@@ -132,20 +131,20 @@
     until(|| other.peer_count() == 1 && system.instance.peer_count() == 1).await;
     evacuate(&system, "z2", 2).await;
     until(|| other.open_count() == 2).await;
-    // Both ways to the store are cut; the order is withdrawn and its record forgotten meanwhile.
+    // Neither instance reaches the store while the evacuation is withdrawn and the history compacted.
     gate.set_outage(Outage::Busy);
     system.store.gate.set_outage(Outage::Busy);
     let before = gate.call_count();
     until(|| before + 3 < gate.call_count()).await;
     system.store.restore("z2");
     system.store.compact();
-    assert_eq!(other.open_count(), 2, "what was in force stays in force");
+    assert_eq!(other.open_count(), 2, "the evacuation stays active without the store");
     gate.set_outage(Outage::None);
     until(|| other.open_count() == 3 && system.instance.open_count() == 3).await;
 }
 
 #[tokio::test]
-async fn an_unknown_domain_is_kept_for_targets_that_join_there() {
+async fn an_evacuation_of_an_unknown_domain_applies_to_targets_that_join_it() {
     let system = two_domains(&[]).await;
     system.store.evacuate("nobody");
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
@@ -155,10 +154,9 @@
     assert_eq!(system.instance.open_count(), 3);
 }
 
-/// Three instances send plain requests as fast as they can; a target that carries 20 a second while it is
-/// cold gets no more than that from all of them together.
+/// Three instances share the rate limit of a cold target, 20 requests per second here.
 #[tokio::test]
-async fn a_cold_target_gets_no_more_than_it_carries_from_all_instances() {
+async fn a_cold_target_gets_no_more_than_its_rate_from_all_instances() {
     let store = Store::start().await;
     let mut configuration = sample_configuration(1);
     configuration["services"][0]["cold-start-s"] = json!(3.0);
@@ -180,6 +178,6 @@
     }
     let most = 3.0 + 20.0 * begun.elapsed().as_secs_f64();
     let got = (cold.runs().len() - before) as f64;
-    assert!(got <= most, "{got} of {most}");
+    assert!(got <= most, "{got} requests to the cold target, at most {most} allowed");
     assert!(300 < warm.runs().len());
 }
