--- a/crates/holdpointd/tests/gone.rs
+++ b/crates/holdpointd/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Callers who leave: half a second later nothing arrives at targets for them any more, and no target
-//! works on what they asked for. Their requests would last for much longer than a test does.
+//! Callers that disconnect: their requests must end at the targets and at the instances, and cause no further
+//! calls. The deadlines are much longer than the tests, so that no request ends by itself.
 
 mod support;
 
@@ -19,79 +19,80 @@
 const SAFE: usize = 0;
 const STORY: usize = 4;
 const STAGED: usize = 6;
-/// Time for which requests here would go on, in milliseconds.
-const LONG_MS: u64 = 120_000;
-/// Span in which nothing may happen to a request once its end was seen.
-const QUIET: Duration = Duration::from_millis(500);
+/// Deadline of the requests.
+const DEADLINE_MS: u64 = 120_000;
+/// Period after the end of a request in which nothing may arrive at the targets.
+const QUIET_PERIOD: Duration = Duration::from_millis(500);
 
-/// A system whose requests have two minutes.
-async fn patient(plain: &[Behaviour], engines: &[Behaviour]) -> System {
+/// Starts a system whose routes allow for `DEADLINE_MS`.
+async fn start_with_long_deadlines(plain: &[Behaviour], engines: &[Behaviour]) -> System {
     let system = start(plain, engines).await;
     let mut configuration = sample_configuration(2);
-    [SAFE, STORY, STAGED].into_iter().for_each(|it| set_times(&mut configuration, it, LONG_MS));
-    set_pace(&mut configuration, STORY, LONG_MS, LONG_MS);
+    [SAFE, STORY, STAGED].into_iter().for_each(|it| set_times(&mut configuration, it, DEADLINE_MS));
+    set_pace(&mut configuration, STORY, DEADLINE_MS, DEADLINE_MS);
     system.store.put_configuration(&configuration);
     until(|| system.instance.version() == 2).await;
     system
 }
 
 fn request(id: &str, path: &str) -> CallerRequest {
-    CallerRequest::new(id, path).with_header("holdpoint-deadline-ms", &LONG_MS.to_string())
+    CallerRequest::new(id, path).with_header("holdpoint-deadline-ms", &DEADLINE_MS.to_string())
 }
 
-/// A caller who waits for an answer until told to leave.
+/// Sends a request from a task that waits for the answer; aborting it disconnects the caller.
 fn caller(instance: &Ingress, request: CallerRequest) -> tokio::task::JoinHandle<()> {
     let callers = instance.listen().callers.parse().unwrap();
     tokio::spawn(async move { drop(call(callers, request).await) })
 }
 
-/// Has a caller leave, waits until a condition holds, and shows how long that took.
-async fn leave(caller: tokio::task::JoinHandle<()>, what: &str, is_over: impl Fn() -> bool) {
+/// Disconnects a caller, waits until a condition holds, and prints how long that took.
+async fn disconnect(caller: tokio::task::JoinHandle<()>, what: &str, is_over: impl Fn() -> bool) {
     caller.abort();
     let begun = Instant::now();
     until(is_over).await;
     println!("{what}: over {} ms after its caller left", begun.elapsed().as_millis());
 }
 
-async fn nothing_arrives(targets: &[&Target]) {
+async fn assert_no_arrivals(targets: &[&Target]) {
     let before: Vec<u64> = targets.iter().map(|it| it.arrived()).collect();
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(QUIET_PERIOD).await;
     let after: Vec<u64> = targets.iter().map(|it| it.arrived()).collect();
     assert_eq!(before, after);
 }
 
 #[tokio::test]
 async fn work_on_a_whole_answer_ends_and_no_other_target_is_tried() {
-    let system = patient(&[Behaviour::RunAndHang; 2], &[]).await;
+    let system = start_with_long_deadlines(&[Behaviour::RunAndHang; 2], &[]).await;
     let waiting = caller(&system.instance, request("r-1", "/safe/"));
     until(|| system.plain_runs() == 1).await;
     let working = || system.plain.iter().map(Target::working).sum::<u64>();
     assert_eq!(working(), 1);
-    leave(waiting, "whole answer", || working() == 0 && system.instance.in_flight() == 0).await;
-    nothing_arrives(&[&system.plain[0], &system.plain[1]]).await;
+    disconnect(waiting, "whole answer", || working() == 0 && system.instance.in_flight() == 0)
+        .await;
+    assert_no_arrivals(&[&system.plain[0], &system.plain[1]]).await;
     assert_eq!(system.plain_runs(), 1);
 }
 
 #[tokio::test]
 async fn work_on_a_stream_ends_before_its_first_event_and_after_it() {
     for behaviour in [Behaviour::RunAndHang, Behaviour::Events(100_000), Behaviour::HangAfter(2)] {
-        let system = patient(&[], &[behaviour; 2]).await;
+        let system = start_with_long_deadlines(&[], &[behaviour; 2]).await;
         let waiting = caller(&system.instance, request("r-1", "/story/"));
         until(|| system.engine_runs() == 1 && system.instance.in_flight() == 1).await;
         let is_over = || {
             system.engines.iter().all(|it| it.working() == 0) && system.instance.in_flight() == 0
         };
-        leave(waiting, &format!("stream, {behaviour:?}"), is_over).await;
-        nothing_arrives(&[&system.engines[0], &system.engines[1]]).await;
+        disconnect(waiting, &format!("stream, {behaviour:?}"), is_over).await;
+        assert_no_arrivals(&[&system.engines[0], &system.engines[1]]).await;
         assert_eq!(system.engine_runs(), 1);
     }
 }
 
 #[tokio::test]
-async fn a_stream_that_goes_on_elsewhere_ends_with_its_caller() {
-    let system = patient(&[], &[Behaviour::BreakAfter(2)]).await;
+async fn a_resumed_stream_ends_with_its_caller() {
+    let system = start_with_long_deadlines(&[], &[Behaviour::BreakAfter(2)]).await;
     let waiting = caller(&system.instance, request("r-1", "/story/"));
-    // The second target joins only now, so that the first one is asked first.
+    // The second target joins only now, so that the first one gets the request first.
     let second = Target::start("i-second", "engine", Behaviour::RunAndHang).await;
     until(|| system.engine_runs() == 1).await;
     system.store.put_target(&second, false);
@@ -99,20 +100,22 @@
     let again = caller(&system.instance, request("r-2", "/story/"));
     until(|| second.working() != 0).await;
     waiting.abort();
-    leave(again, "resumed stream", || second.working() == 0 && system.instance.in_flight() == 0)
-        .await;
-    nothing_arrives(&[&second, &system.engines[0]]).await;
+    disconnect(again, "resumed stream", || {
+        second.working() == 0 && system.instance.in_flight() == 0
+    })
+    .await;
+    assert_no_arrivals(&[&second, &system.engines[0]]).await;
 }
 
-/// Whether a target was called for the second stage of a request's pieces.
-fn was_asked(target: &Target, id: &str) -> bool {
+/// Whether a target got items of the second stage of a request.
+fn got_second_stage(target: &Target, id: &str) -> bool {
     let is_its = |it: &Value| it["id"] == id && !it["inputs"].is_null();
     target.batches().iter().flatten().any(is_its)
 }
 
-/// The pieces wait at whichever instance batches them, and are declined again and again.
-async fn pieces_are_withdrawn(by_peer: bool) {
-    let system = patient(&[], &[Behaviour::Events(2)]).await;
+/// Items of the second stage wait at the instance that batches them, since the target declines their calls.
+async fn assert_withdrawn(by_peer: bool) {
+    let system = start_with_long_deadlines(&[], &[Behaviour::Events(2)]).await;
     let gate = system.store.open_gate().await;
     let other = start_instance("b", &gate);
     let is_known = || system.instance.peer_count() == 1 && other.peer_count() == 1;
@@ -120,19 +123,19 @@
     until(|| other.target_count() == 2).await;
     system.encoder.set_behaviour(Behaviour::DeclinePieces);
     let batcher = batcher(&system, &other).await;
-    let asked = match (batcher == "a") == by_peer {
+    let receiver = match (batcher == "a") == by_peer {
         true => &other,
         false => &system.instance,
     };
-    let waiting = caller(asked, request("r-1", "/staged/").with_pieces("2,2"));
+    let waiting = caller(receiver, request("r-1", "/staged/").with_pieces("2,2"));
     until(|| system.encoder.declined() != 0).await;
-    let what = if by_peer { "pieces at a peer" } else { "pieces here" };
+    let what = if by_peer { "items at a peer" } else { "items at the caller's instance" };
     waiting.abort();
     let begun = Instant::now();
     let before = system.encoder.declined();
     let mut last = (before, begun);
     let withdrawn = async {
-        while last.1.elapsed() < QUIET {
+        while last.1.elapsed() < QUIET_PERIOD {
             tokio::time::sleep(Duration::from_millis(5)).await;
             let declined = system.encoder.declined();
             if last.0 != declined {
@@ -140,17 +143,22 @@
             }
         }
     };
-    tokio::time::timeout(support::PATIENCE, withdrawn).await.expect("the pieces are withdrawn");
-    assert!(last.0 <= before + 2, "they are not called for again and again");
+    tokio::time::timeout(support::PATIENCE, withdrawn)
+        .await
+        .expect("the items are still sent after their caller disconnected");
+    assert!(
+        last.0 <= before + 2,
+        "more than two calls with the items after their caller disconnected"
+    );
     println!("{what}: over {} ms after their caller left", (last.1 - begun).as_millis());
     system.encoder.set_behaviour(Behaviour::Answer);
-    nothing_arrives(&[&system.encoder, &system.engines[0]]).await;
-    assert!(!was_asked(&system.encoder, "r-1"));
-    // The results that it had are given up.
+    assert_no_arrivals(&[&system.encoder, &system.engines[0]]).await;
+    assert!(!got_second_stage(&system.encoder, "r-1"));
+    // The results of the first stage are released.
     until(|| system.encoder.freed().len() == 3).await;
 }
 
-/// Name of the instance that batches the pieces of the two, as seen by whose metrics count a call.
+/// Name of the instance that batches the items of both, found by the metrics of a probe.
 async fn batcher(system: &System, other: &Ingress) -> &'static str {
     let probe = request("probe", "/staged/").with_pieces("1,0");
     assert_eq!(call(system.callers(), probe).await.expect("there is an answer").status, 200);
@@ -170,28 +178,28 @@
 }
 
 #[tokio::test]
-async fn pieces_that_wait_here_are_withdrawn() {
-    pieces_are_withdrawn(false).await;
+async fn items_that_wait_at_the_callers_instance_are_withdrawn() {
+    assert_withdrawn(false).await;
 }
 
 #[tokio::test]
-async fn pieces_that_wait_at_a_peer_are_withdrawn() {
-    pieces_are_withdrawn(true).await;
+async fn items_that_wait_at_a_peer_are_withdrawn() {
+    assert_withdrawn(true).await;
 }
 
-/// A call that carries pieces is not broken off, since it may carry those of others; what it has made
-/// is given up at once, and nothing follows.
+/// A call with work items is not cancelled, since it may have items of other requests. The results of a caller that
+/// disconnected are released on arrival, and no further stage runs.
 #[tokio::test]
-async fn results_that_come_after_their_caller_left_are_given_up() {
-    let system = patient(&[], &[Behaviour::Events(2)]).await;
+async fn results_that_arrive_after_their_caller_left_are_released() {
+    let system = start_with_long_deadlines(&[], &[Behaviour::Events(2)]).await;
     system.encoder.set_behaviour(Behaviour::HoldPieces);
     let waiting = caller(&system.instance, request("r-1", "/staged/").with_pieces("1,2"));
     until(|| system.encoder.working() == 1 && system.encoder.batches().len() == 1).await;
-    leave(waiting, "pieces in a call", || system.instance.in_flight() == 0).await;
+    disconnect(waiting, "items in a call", || system.instance.in_flight() == 0).await;
     system.encoder.set_behaviour(Behaviour::Answer);
     until(|| system.encoder.working() == 0).await;
     let freed = || system.encoder.freed().into_iter().collect::<BTreeSet<_>>().len();
     until(|| freed() == 3).await;
-    nothing_arrives(&[&system.encoder, &system.engines[0]]).await;
+    assert_no_arrivals(&[&system.encoder, &system.engines[0]]).await;
     assert_eq!(system.engine_runs(), 0);
 }
