--- a/crates/holdpointd/tests/catalogue.rs
+++ b/crates/holdpointd/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! Holds the catalogue of log events against the code.
+//! Compares the catalogue of log events in the documentation with the code.
 
 use std::{collections::HashSet, fs, path::Path};
 
@@ -12,12 +12,15 @@
         it.strip_prefix("| ").is_some_and(|it| it.starts_with(|c: char| c.is_ascii_digit()))
     };
     let rows: Vec<&str> = page.lines().filter(is_row).collect();
-    assert_eq!(rows.len(), ALL.len(), "one row an event");
+    assert_eq!(rows.len(), ALL.len(), "the catalogue has one row per event");
     for event in ALL {
         let level = event.level.as_str().to_lowercase();
         let start = format!("| {} | {level} | {} |", event.code, event.text);
-        assert!(rows.iter().any(|it| it.starts_with(&start)), "{start}");
+        assert!(
+            rows.iter().any(|it| it.starts_with(&start)),
+            "the catalogue has no row that starts with {start:?}"
+        );
     }
     let codes: HashSet<u16> = ALL.iter().map(|it| it.code).collect();
-    assert_eq!(codes.len(), ALL.len(), "numbers are unique");
+    assert_eq!(codes.len(), ALL.len(), "two events share a number");
 }
--- a/crates/holdpointd/tests/codec.rs
+++ b/crates/holdpointd/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Instances of two versions talk while one replaces the other: a field more on either side.
+//! Peer messages between instances of two versions, which run side by side during a rollout: fields that only one
+//! side has must not break decoding.
 
 use std::pin::Pin;
 
@@ -7,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tokio_serde::{Deserializer, Serializer, formats::Cbor};
 
-/// The digest of a later version.
+/// `Digest` as a later version might define it, with one field more.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct LaterDigest {
     from: String,
@@ -18,22 +19,22 @@
     seen: u64,
 }
 
-fn over_the_wire<A: Serialize + Unpin, B: for<'de> Deserialize<'de> + Unpin>(value: &A) -> B {
+fn round_trip<A: Serialize + Unpin, B: for<'de> Deserialize<'de> + Unpin>(value: &A) -> B {
     let mut codec: Cbor<B, A> = Cbor::default();
     let bytes = Pin::new(&mut codec).serialize(value).unwrap();
     Pin::new(&mut codec).deserialize(&BytesMut::from(&bytes[..])).unwrap()
 }
 
 #[test]
-fn a_field_that_is_not_known_is_passed_over() {
+fn unknown_fields_are_ignored() {
     let mood = Some("calm".to_owned());
     let later = LaterDigest { from: "a".into(), mood, head: 3, version: 1, seen: 2 };
-    let digest: Digest = over_the_wire(&later);
+    let digest: Digest = round_trip(&later);
     assert_eq!((digest.from.as_str(), digest.head, digest.seen), ("a", 3, 2));
 }
 
 #[test]
-fn a_field_that_is_absent_has_its_default() {
+fn absent_fields_have_their_default() {
     let digest = Digest {
         from: "a".into(),
         head: 3,
@@ -44,6 +45,6 @@
         acks: Vec::new(),
         leaving: Vec::new(),
     };
-    let later: LaterDigest = over_the_wire(&digest);
+    let later: LaterDigest = round_trip(&digest);
     assert_eq!(later, LaterDigest { from: "a".into(), mood: None, head: 3, version: 1, seen: 2 });
 }
--- a/crates/holdpointd/tests/denials.rs
+++ b/crates/holdpointd/tests/denials.rs
@@ -1,4 +1,5 @@
-//! Requests that the known configuration does not allow.
+//! Requests that the active configuration does not allow: an instance denies them only if it can confirm that its
+//! configuration is current.
 
 mod support;
 
@@ -9,21 +10,21 @@
 
 use crate::support::{PATIENCE, System, start, start_instance, until};
 
-/// Asks for a route that does not exist until the answer is the expected one.
+/// Sends requests for a route that does not exist until one has the expected status.
 async fn until_answered(system: &System, expected: StatusCode) {
     let asked = async {
-        let mut turn = 0;
-        while system.ask(&format!("r-{turn}"), "/nowhere/").await.status != expected {
-            turn += 1;
+        let mut attempt = 0;
+        while system.ask(&format!("r-{attempt}"), "/nowhere/").await.status != expected {
+            attempt += 1;
         }
     };
-    tokio::time::timeout(PATIENCE, asked).await.expect("the answer comes in time");
+    tokio::time::timeout(PATIENCE, asked).await.expect("no answer had the expected status in time");
 }
 
-/// A denial is for good. An instance that hears from nobody may have missed the configuration that
-/// allows the request, so it refuses for now.
+/// Callers treat a denial as final. An isolated instance may have missed the configuration that allows the
+/// request, so it answers 503 until it has contact again.
 #[tokio::test]
-async fn an_instance_that_hears_from_nobody_denies_nothing() {
+async fn an_isolated_instance_denies_nothing() {
     let system = start(&[Behaviour::Answer], &[]).await;
     until_answered(&system, StatusCode::NOT_FOUND).await;
     system.store.gate.set_outage(Outage::Busy);
@@ -34,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn requests_that_wait_share_one_question() {
+async fn waiting_requests_share_one_check_of_the_configuration() {
     let system = start(&[Behaviour::Answer], &[]).await;
     system.store.gate.set_outage(Outage::Busy);
     until_answered(&system, StatusCode::SERVICE_UNAVAILABLE).await;
@@ -43,13 +44,13 @@
     let answers = join_all(ids.iter().map(|it| system.ask(it, "/nowhere/"))).await;
     assert!(answers.iter().all(|it| it.status == StatusCode::SERVICE_UNAVAILABLE));
     let calls = system.store.gate.call_count() - before;
-    // The reads that go on anyhow are among them.
+    // Includes the periodic reads of the store.
     assert!(calls < 50, "{calls} calls to the store for 200 requests");
 }
 
-/// The instance is turned away by the store; a peer is not.
+/// The store rejects the calls of this instance, but not those of its peer.
 #[tokio::test]
-async fn an_instance_that_the_store_turns_away_asks_a_peer_and_denies() {
+async fn an_instance_that_the_store_rejects_asks_a_peer_before_it_denies() {
     let system = start(&[Behaviour::Answer], &[]).await;
     let gate = system.store.open_gate().await;
     let other = start_instance("b", &gate);
--- a/crates/holdpointd/tests/expected.rs
+++ b/crates/holdpointd/tests/expected.rs
@@ -1,5 +1,5 @@
-//! Addresses are used again by other targets: whatever is sent names the target that is meant, and 421,
-//! from one that is not meant, counts as not run.
+//! Another target may reuse an address: each call names its intended target, and a 421 from another one counts as
+//! not run. Otherwise a stale address sends work to the wrong target.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use crate::support::{start, story, until};
 
 #[tokio::test]
-async fn sends_pieces_resumed_streams_and_releases_name_the_target_that_is_meant() {
+async fn requests_items_resumed_streams_and_releases_name_their_intended_target() {
     let engines = [Behaviour::BreakAfter(3), Behaviour::BreakAfter(3)];
     let system = start(&[Behaviour::Answer], &engines).await;
     assert_eq!(system.ask("r-1", "/safe/").await.status, StatusCode::OK);
@@ -17,7 +17,7 @@
     system.engines.iter().for_each(|it| it.set_behaviour(Behaviour::Events(2)));
     let staged = CallerRequest::new("r-3", "/staged/").with_pieces("2,1");
     assert_eq!(system.send(staged).await.status, StatusCode::OK);
-    // The stream breaks off at whichever engine has it first, and goes on at the other.
+    // The stream breaks at the engine that is chosen first, and is resumed at the other.
     system.engines.iter().for_each(|it| it.set_behaviour(Behaviour::BreakAfter(3)));
     drop(system.ask("r-4", "/story/").await);
     let paths = |it: &Target| it.meant().into_iter().map(|it| it.0).collect::<Vec<_>>();
@@ -33,21 +33,25 @@
     }
 }
 
-/// The list names a target that is gone; another one has its address.
-fn gone(at: &Target, id: &str, service: &str) -> Target {
-    let mut gone = at.clone();
-    (gone.id, gone.service) = (id.to_owned(), service.to_owned());
-    gone
+/// A stopped target that is still listed, although `successor` has its address now.
+fn stale_entry(successor: &Target, id: &str, service: &str) -> Target {
+    let mut stale = successor.clone();
+    (stale.id, stale.service) = (id.to_owned(), service.to_owned());
+    stale
 }
 
 #[tokio::test]
-async fn a_request_that_meets_another_target_has_not_run() {
+async fn a_request_that_reaches_another_target_counts_as_not_run() {
     let system = start(&[], &[Behaviour::Events(2)]).await;
-    // The encoder has the address that a plain target had.
-    system.store.put_target(&gone(&system.encoder, "i-gone", "plain"), false);
+    // The encoder has the former address of a plain target.
+    system.store.put_target(&stale_entry(&system.encoder, "i-gone", "plain"), false);
     until(|| system.instance.target_count() == 3).await;
     let answer = system.ask("r-1", "/unsafe/").await;
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "a promise that it has not run");
+    assert_eq!(
+        answer.status,
+        StatusCode::SERVICE_UNAVAILABLE,
+        "503 states that the request has not run"
+    );
     assert_eq!(system.encoder.runs().len(), 0);
     let plain = Target::start("i-plain", "plain", Behaviour::Answer).await;
     system.store.put_target(&plain, false);
@@ -57,11 +61,11 @@
 }
 
 #[tokio::test]
-async fn a_stream_and_pieces_that_meet_another_target_go_to_the_right_one() {
+async fn a_stream_and_items_that_reach_another_target_are_sent_to_the_right_one() {
     let system = start(&[], &[Behaviour::Events(2)]).await;
     let plain = Target::start("i-plain", "plain", Behaviour::Answer).await;
-    system.store.put_target(&gone(&plain, "i-gone-engine", "engine"), false);
-    system.store.put_target(&gone(&plain, "i-gone-encoder", "encode"), false);
+    system.store.put_target(&stale_entry(&plain, "i-gone-engine", "engine"), false);
+    system.store.put_target(&stale_entry(&plain, "i-gone-encoder", "encode"), false);
     until(|| system.instance.target_count() == 4).await;
     for id in 0..4 {
         let request = CallerRequest::new(&format!("r-{id}"), "/staged/").with_pieces("2,1");
--- a/crates/holdpointd/tests/golden.rs
+++ b/crates/holdpointd/tests/golden.rs
@@ -1,13 +1,13 @@
-//! Messages between instances as earlier builds wrote them, which later ones still have to read: machines are
-//! replaced one after the other. Each folder has the frames of one version of the protocol, and what its own build
-//! read in them.
+//! Peer messages as earlier builds wrote them: later builds must still read them, since instances are replaced one
+//! by one. Each folder has the frames of one protocol version and, as JSON, how the build that wrote them decoded
+//! them.
 
 use std::path::{Path, PathBuf};
 
 use holdpointd::ingress::read_peer_frame;
 use serde_json::Value;
 
-/// Versions of the protocol whose frames are kept.
+/// Protocol versions that must still be read.
 const VERSIONS: [&str; 1] = ["protocol-5"];
 
 fn frames(version: &str) -> Vec<PathBuf> {
@@ -16,16 +16,16 @@
     files.filter(|it| it.extension().is_some_and(|it| it != "json")).collect()
 }
 
-/// Whether all that is told is read. Fields may have come since.
-fn is_read(told: &Value, read: &Value) -> bool {
-    match (told, read) {
-        (Value::Object(told), Value::Object(read)) => {
-            told.iter().all(|(name, it)| read.get(name).is_some_and(|read| is_read(it, read)))
+/// Whether `read` has all values of `expected`. It may have more fields, which later builds have added.
+fn has_all(expected: &Value, read: &Value) -> bool {
+    match (expected, read) {
+        (Value::Object(expected), Value::Object(read)) => {
+            expected.iter().all(|(name, it)| read.get(name).is_some_and(|read| has_all(it, read)))
         }
-        (Value::Array(told), Value::Array(read)) => {
-            told.len() == read.len() && told.iter().zip(read).all(|it| is_read(it.0, it.1))
+        (Value::Array(expected), Value::Array(read)) => {
+            expected.len() == read.len() && expected.iter().zip(read).all(|it| has_all(it.0, it.1))
         }
-        _ => told == read,
+        _ => expected == read,
     }
 }
 
@@ -33,20 +33,24 @@
 fn frames_of_earlier_builds_are_read() {
     for version in VERSIONS {
         let frames = frames(version);
-        assert_eq!(frames.len(), 18, "a question and an answer of each call");
+        assert_eq!(frames.len(), 18, "a request and an answer per call");
         for path in frames {
             let is_answer = path.extension().is_some_and(|it| it == "answer");
             let read = read_peer_frame(&std::fs::read(&path).unwrap(), is_answer);
             let read = read.unwrap_or_else(|it| panic!("{}: {it}", path.display()));
             let text = std::fs::read(format!("{}.json", path.display())).unwrap();
-            let told: Value = serde_json::from_slice(&text).unwrap();
-            assert!(is_read(&told, &read), "{}: {read} in place of {told}", path.display());
+            let expected: Value = serde_json::from_slice(&text).unwrap();
+            assert!(
+                has_all(&expected, &read),
+                "{}: read {read}, expected {expected}",
+                path.display()
+            );
         }
     }
 }
 
 #[test]
-fn a_frame_that_is_cut_off_is_no_message() {
+fn a_truncated_frame_is_rejected() {
     for path in frames(VERSIONS[0]) {
         let frame = std::fs::read(&path).unwrap();
         let is_answer = path.extension().is_some_and(|it| it == "answer");
