--- a/crates/holdpointd/tests/ingress.rs
+++ b/crates/holdpointd/tests/ingress.rs
@@ -1,4 +1,5 @@
-//! The ingress against a stand-in of the platform: what callers and targets see.
+//! The ingress against a simulated platform: forwarding, retries, resumed streams, staged work, configuration
+//! updates, peers and planned stops, as callers and targets see them.
 
 mod support;
 
@@ -36,7 +37,7 @@
     let of = |name: &str| run.headers.get(name).map(|it| it.to_str().unwrap());
     assert_eq!(of("x-own"), Some("kept"));
     assert_eq!(of("x-hop"), None);
-    assert_eq!(of("authorization"), None, "the key is kept back");
+    assert_eq!(of("authorization"), None, "the caller's key is not forwarded");
     assert_eq!(of(names::ORGANISATION), Some("acme"));
     assert_eq!(of(names::HOLD), None);
     assert_eq!(of(names::TARGET), Some("i-plain-0"));
@@ -45,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn what_is_not_allowed_is_denied_and_not_run() {
+async fn requests_that_are_not_allowed_are_denied_and_not_run() {
     let system = start(&[Behaviour::Answer], &[]).await;
     let status = async |request| system.send(request).await.status;
     let new = CallerRequest::new;
@@ -85,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn a_hung_request_that_may_run_once_ends_with_a_failure_that_promises_nothing() {
+async fn a_hung_request_that_may_run_once_ends_with_a_gateway_timeout() {
     let system = start(&[Behaviour::RunAndHang, Behaviour::RunAndHang], &[]).await;
     let request = CallerRequest::new("r-1", "/unsafe/").with_header(names::DEADLINE, "300");
     let answer = system.send(request).await;
@@ -110,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn a_repeatable_request_goes_on_at_another_target() {
+async fn a_repeatable_request_is_retried_at_another_target() {
     for behaviour in [
         Behaviour::RunAndCut,
         Behaviour::RunAndHang,
@@ -146,14 +147,14 @@
 }
 
 #[tokio::test]
-async fn a_broken_stream_goes_on_elsewhere_inside_the_same_answer() {
+async fn a_broken_stream_is_resumed_elsewhere_within_the_same_answer() {
     let system = start(&[], &[Behaviour::BreakAfter(5), Behaviour::Events(12)]).await;
     for id in 0..6 {
         let answer = system.ask(&format!("r-{id}"), "/story/").await;
         assert!(answer.is_whole, "request {id}");
         assert_eq!(answer.body, story(0, 12), "request {id}");
     }
-    assert!(system.engines[0].runs().len() < 6, "an engine that breaks off is avoided");
+    assert!(system.engines[0].runs().len() < 6, "an engine that breaks streams is avoided");
 }
 
 #[tokio::test]
@@ -161,7 +162,7 @@
     let system = start(&[], &[Behaviour::BreakAfter(5), Behaviour::BreakAfter(5)]).await;
     let answer = system.ask("r-1", "/once/").await;
     assert!(!answer.is_whole);
-    assert_eq!(answer.body, story(0, 5), "part of an event is held back");
+    assert_eq!(answer.body, story(0, 5), "a partial event was passed on");
     assert_eq!(system.engine_runs(), 1);
 }
 
@@ -174,13 +175,13 @@
 }
 
 #[tokio::test]
-async fn stages_are_made_in_order_and_their_results_given_up() {
+async fn stages_run_in_order_and_their_results_are_released() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     let answer = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3")).await;
     assert_eq!(answer.body, story(0, 3));
-    let pieces: Vec<_> = system.encoder.batches().into_iter().flatten().collect();
-    let first: Vec<_> = pieces.iter().filter(|it| it["stage"] == 0).collect();
-    let second: Vec<_> = pieces.iter().filter(|it| it["stage"] == 1).collect();
+    let items: Vec<_> = system.encoder.batches().into_iter().flatten().collect();
+    let first: Vec<_> = items.iter().filter(|it| it["stage"] == 0).collect();
+    let second: Vec<_> = items.iter().filter(|it| it["stage"] == 1).collect();
     assert_eq!((first.len(), second.len()), (2, 3));
     assert!(first.iter().all(|it| it["key"] == "aa11" && it["inputs"].is_null()));
     assert!(second.iter().all(|it| it["inputs"].as_array().unwrap().len() == 2));
@@ -189,16 +190,15 @@
     until(|| system.encoder.freed().len() == 5).await;
 }
 
-/// Seen on armor grown scale-2: calls went out half full since the makers had no room, taken by
-/// results that the next stage had long fetched.
+/// Results that the next stage has already fetched must not use up the capacity of the targets that hold them.
 #[tokio::test]
-async fn results_are_given_up_as_soon_as_the_next_stage_has_them() {
+async fn results_are_released_as_soon_as_the_next_stage_has_them() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     system.encoder.set_behaviour(Behaviour::HoldPieces);
     let asked = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3"));
     let meanwhile = async {
         until(|| system.encoder.freed().len() == 2).await;
-        assert_eq!(system.encoder.batches().len(), 1, "the next stage is still at work");
+        assert_eq!(system.encoder.batches().len(), 1, "the next stage is still running");
         system.encoder.set_behaviour(Behaviour::Answer);
     };
     let (answer, ()) = tokio::join!(asked, meanwhile);
@@ -206,22 +206,26 @@
     until(|| 5 <= system.encoder.freed().len()).await;
 }
 
-/// Inputs go with the target that made them, as well as where two instances batch one service. Taken for
-/// a sign of the second, they were kept until the ends of calls, and their makers had room for half.
+/// Inputs are also lost when the target that holds them fails. That must not be treated as a sign of two instances
+/// that batch one service, in which case results are kept until calls end.
 #[tokio::test]
-async fn inputs_that_were_lost_do_not_keep_later_ones_from_being_given_up() {
+async fn lost_inputs_do_not_delay_the_release_of_later_ones() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     system.encoder.set_behaviour(Behaviour::LosePieces);
     let lost = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3")).await;
     assert_eq!(lost.status, StatusCode::SERVICE_UNAVAILABLE);
-    let made = system.encoder.batches().concat().len();
+    let run_count = system.encoder.batches().concat().len();
     let freed = || system.encoder.freed().into_iter().collect::<HashSet<_>>().len();
-    until(|| freed() == made).await;
+    until(|| freed() == run_count).await;
     system.encoder.set_behaviour(Behaviour::HoldPieces);
     let asked = system.send(CallerRequest::new("r-2", "/staged/").with_pieces("2,3"));
     let meanwhile = async {
-        until(|| freed() == made + 2).await;
-        assert_eq!(system.encoder.batches().concat().len(), made + 2, "the next stage is at work");
+        until(|| freed() == run_count + 2).await;
+        assert_eq!(
+            system.encoder.batches().concat().len(),
+            run_count + 2,
+            "the next stage is still running"
+        );
         system.encoder.set_behaviour(Behaviour::Answer);
     };
     let (answer, ()) = tokio::join!(asked, meanwhile);
@@ -229,7 +233,7 @@
 }
 
 #[tokio::test]
-async fn inputs_are_given_up_once_though_a_call_was_declined_before() {
+async fn inputs_are_released_once_after_a_declined_call() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     system.encoder.set_behaviour(Behaviour::DeclinePieces);
     let asked = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3"));
@@ -243,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn the_last_results_are_given_up_while_the_prompt_is_read() {
+async fn the_last_results_are_released_before_the_engine_answers() {
     let system = start(&[], &[Behaviour::RunAndHang]).await;
     let mut configuration = sample_configuration(2);
     set_times(&mut configuration, 6, 60_000);
@@ -259,24 +263,24 @@
     running.abort();
 }
 
-/// A request with two stages whose caller waits for a minute.
-fn patient_request() -> CallerRequest {
+/// A request with two stages and a deadline of one minute.
+fn minute_request() -> CallerRequest {
     CallerRequest::new("r-1", "/staged/").with_pieces("1,1").with_header(names::DEADLINE, "60000")
 }
 
-/// Seen on pcfo scale-1: a stream broke off, and its stages, asked for anew, were refused as too
-/// late for an answer that had long begun.
+/// When a broken stream is resumed, its stages run again. They must not be refused as too late for the first event,
+/// since the answer has already begun.
 #[tokio::test]
-async fn a_stream_that_goes_on_elsewhere_is_not_refused_for_its_target_time() {
+async fn a_resumed_stream_is_not_refused_for_its_target_latency() {
     let system = start(&[], &[Behaviour::BreakAfter(1200)]).await;
     let mut configuration = sample_configuration(2);
     configuration["routes"][6]["timeout-ms"] = json!(60_000);
     system.store.put_configuration(&configuration);
     until(|| system.instance.version() == 2).await;
-    let request = patient_request();
+    let request = minute_request();
     let running = tokio::spawn(call(system.callers(), request));
     until(|| system.engine_runs() == 1).await;
-    // The other engine joins while the first one, which will break off, is at work.
+    // The other engine joins while the first one is running and has not broken the stream yet.
     let other = Target::start("i-engine-1", "engine", Behaviour::Events(1210)).await;
     system.store.put_target(&other, false);
     let answer = running.await.unwrap().unwrap();
@@ -285,10 +289,10 @@
     assert_eq!(other.runs().len(), 1);
 }
 
-/// Callers leave a stream that stays silent long before its time is over; until then they are told
-/// that it has not run.
+/// Callers disconnect from a silent stream long before its deadline. The refusal must reach them before that, so that
+/// they know that the request has not run.
 #[tokio::test]
-async fn a_request_whose_stages_cannot_be_made_is_refused_before_its_caller_leaves() {
+async fn a_request_whose_stages_cannot_run_is_refused_before_its_caller_disconnects() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     let mut configuration = sample_configuration(2);
     configuration["routes"][6]["timeout-ms"] = json!(60_000);
@@ -297,16 +301,16 @@
     until(|| system.instance.version() == 2).await;
     system.store.drop_target("i-encode");
     until(|| system.instance.target_count() == 1).await;
-    let request = patient_request();
+    let request = minute_request();
     let asked = tokio::time::timeout(PATIENCE, call(system.callers(), request));
-    let answer = asked.await.expect("it is answered long before its time is over").unwrap();
+    let answer = asked.await.expect("no answer although the stages cannot run").unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!header(&answer, "retry-after").is_empty());
     assert_eq!(system.engine_runs(), 0);
 }
 
 #[tokio::test]
-async fn pieces_of_several_requests_share_a_call() {
+async fn items_of_several_requests_share_a_call() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     let requests = (0..8).map(|id| {
         system.send(CallerRequest::new(&format!("r-{id}"), "/staged/").with_pieces("1,1"))
@@ -315,7 +319,7 @@
     assert!(answers.iter().all(|it| it.is_whole && it.status == StatusCode::OK));
     let batches = system.encoder.batches();
     assert!(batches.iter().any(|it| 1 < it.len()));
-    assert!(batches.iter().all(|it| it.len() <= 4), "a call takes four pieces at most");
+    assert!(batches.iter().all(|it| it.len() <= 4), "a call has more than four items");
 }
 
 #[tokio::test]
@@ -333,7 +337,7 @@
 }
 
 #[tokio::test]
-async fn forgotten_history_is_read_anew() {
+async fn compacted_history_is_read_again() {
     let system = start(&[Behaviour::Answer], &[]).await;
     system.store.put_configuration(&sample_configuration(2));
     system.store.compact();
@@ -355,7 +359,7 @@
     assert!(answer.headers.contains_key("retry-after"));
 }
 
-/// After a restart of all, callers come before an instance knows anything.
+/// After a restart of all instances, requests arrive before the configuration is read.
 #[tokio::test]
 async fn a_request_that_comes_while_an_instance_starts_is_served_once_it_has_started() {
     let store = Store::start().await;
@@ -371,12 +375,12 @@
 }
 
 #[tokio::test]
-async fn a_leaving_target_gets_nothing_more_by_any_sign() {
+async fn a_draining_or_removed_target_gets_no_more_requests() {
     let system = start(&[Behaviour::Answer, Behaviour::Answer], &[]).await;
     system.store.put_target(&system.plain[0], true);
     until(|| system.instance.target_count() == 2).await;
     let before = system.plain[0].runs().len();
-    // An entry from before the sign does not take it back.
+    // An entry without the mark, as from before the drain notice, does not cancel it.
     system.store.put_target(&system.plain[0], false);
     for id in 0..10 {
         assert_eq!(system.ask(&format!("r-{id}"), "/safe/").await.status, StatusCode::OK);
@@ -388,7 +392,7 @@
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
 }
 
-/// Two instances, each with a way of its own to the store.
+/// Starts two instances, each with its own connection to the store.
 async fn two_instances() -> (System, Gate, Ingress) {
     let system = start(&[Behaviour::Answer], &[Behaviour::Events(3)]).await;
     let gate = system.store.open_gate().await;
@@ -398,7 +402,7 @@
     (system, gate, other)
 }
 
-async fn configured_by_a_peer(outage: Outage) {
+async fn assert_configured_by_a_peer(outage: Outage) {
     let (system, gate, other) = two_instances().await;
     gate.set_outage(outage);
     system.store.put_configuration(&sample_configuration(4));
@@ -406,22 +410,22 @@
 }
 
 #[tokio::test]
-async fn an_instance_that_the_store_turns_away_is_configured_by_its_peer() {
-    configured_by_a_peer(Outage::Busy).await;
+async fn an_instance_that_the_store_rejects_is_configured_by_its_peer() {
+    assert_configured_by_a_peer(Outage::Busy).await;
 }
 
 #[tokio::test]
-async fn an_instance_that_hears_nothing_of_the_store_is_configured_by_its_peer() {
-    configured_by_a_peer(Outage::Silent).await;
+async fn an_instance_that_the_store_does_not_answer_is_configured_by_its_peer() {
+    assert_configured_by_a_peer(Outage::Silent).await;
 }
 
-/// Seen on armor trouble-3: after a restart one long read was never answered, while the reads of
-/// the target list went on, so nothing looked wrong for seconds.
+/// If one long poll is never answered while reads of the target list succeed, the store looks healthy. The instance
+/// must still get the configuration.
 #[tokio::test]
-async fn a_lost_answer_to_one_long_read_does_not_leave_an_old_configuration_in_force() {
+async fn a_lost_answer_to_one_long_poll_does_not_leave_an_old_configuration_active() {
     let (system, gate, other) = two_instances().await;
     gate.set_outage(Outage::SilentWaits);
-    // The read that waits since before the outage is still answered, with this version.
+    // The long poll from before the outage is still answered, with this version.
     system.store.put_configuration(&sample_configuration(4));
     until(|| other.version() == 4).await;
     let staged = async |instance: &Ingress, id: &str| {
@@ -429,7 +433,7 @@
         let request = CallerRequest::new(id, "/staged/").with_pieces("1,1");
         call(callers, request).await.unwrap()
     };
-    // Whichever of the two batches, one is now connected to the other.
+    // Whichever instance batches, the two are connected to each other now.
     assert!(staged(&other, "r-1").await.is_whole);
     assert!(staged(&system.instance, "r-2").await.is_whole);
     system.store.put_configuration(&sample_configuration(6));
@@ -437,7 +441,7 @@
 }
 
 #[tokio::test]
-async fn pieces_of_two_instances_meet_at_one() {
+async fn items_of_two_instances_share_a_call() {
     let (system, _gate, other) = two_instances().await;
     let addresses = [&system.instance, &other].map(|it| it.listen().callers.parse().unwrap());
     let ask = |id: usize| {
@@ -446,13 +450,13 @@
     };
     let answers = futures::future::join_all((0..12).map(ask)).await;
     assert!(answers.into_iter().all(|it| it.is_some_and(|it| it.is_whole)));
-    let mixed = |pieces: &Vec<serde_json::Value>| {
+    let mixed = |items: &Vec<serde_json::Value>| {
         let number = |it: &serde_json::Value| {
             it["id"].as_str().unwrap().trim_start_matches("r-").parse::<usize>().unwrap() % 2
         };
-        pieces.iter().any(|it| number(it) == 0) && pieces.iter().any(|it| number(it) == 1)
+        items.iter().any(|it| number(it) == 0) && items.iter().any(|it| number(it) == 1)
     };
-    assert!(system.encoder.batches().iter().any(mixed), "one call has pieces of both");
+    assert!(system.encoder.batches().iter().any(mixed), "no call has items of both instances");
 }
 
 async fn metrics(instance: &Ingress) -> String {
@@ -476,9 +480,9 @@
     assert_eq!(placed.iter().filter(|it| it.contains(by_peer)).count(), 1);
 }
 
-/// A peer that is gone costs a moment, never the request.
+/// An unreachable peer may delay a request, but not fail it.
 #[tokio::test]
-async fn a_lost_peer_is_passed_over() {
+async fn unreachable_peers_do_not_fail_requests() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     for name in ["gone-1", "gone-2", "gone-3"] {
         system.store.put_instance(name, "127.0.0.1:9");
@@ -499,7 +503,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_finishes_what_is_in_flight_and_takes_nothing_late() {
+async fn a_planned_stop_finishes_requests_in_flight_and_admits_no_more() {
     let system = start(&[Behaviour::Answer], &[Behaviour::Events(150)]).await;
     let callers = system.callers();
     let running = tokio::spawn(call(callers, CallerRequest::new("r-1", "/story/")));
@@ -510,12 +514,12 @@
     assert_eq!(answer.body, story(0, 150));
     assert_eq!(stopping.await.unwrap(), holdpointd::Ended::Drained);
     let late = call(callers, CallerRequest::new("r-2", "/safe/")).await;
-    assert!(late.is_none(), "the port is closed, and yet {late:?}");
+    assert!(late.is_none(), "answered after the stop: {late:?}");
 }
 
-/// A request that still waits when an instance stops gets an answer, not a closed connection.
+/// A request that still waits when an instance stops must get an answer, not a closed connection.
 #[tokio::test]
-async fn a_planned_stop_answers_what_it_cannot_finish() {
+async fn a_planned_stop_answers_requests_that_it_cannot_finish() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     let mut configuration = sample_configuration(2);
     set_times(&mut configuration, 6, 60_000);
@@ -523,7 +527,7 @@
     until(|| system.instance.version() == 2).await;
     system.store.drop_target("i-encode");
     until(|| system.instance.target_count() == 1).await;
-    let request = patient_request();
+    let request = minute_request();
     let running = tokio::spawn(call(system.callers(), request));
     until(|| system.instance.in_flight() == 1).await;
     assert_eq!(stop(system.instance).await, holdpointd::Ended::Drained);
@@ -532,7 +536,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_who_leaves_ends_the_work_at_the_target() {
+async fn a_caller_that_disconnects_ends_the_work_at_the_target() {
     let system = start(&[], &[Behaviour::Events(100_000)]).await;
     let call = tokio::spawn(call(system.callers(), CallerRequest::new("r-1", "/story/")));
     until(|| system.engine_runs() == 1).await;
