--- a/crates/holdpointd/tests/support/fleet.rs
+++ b/crates/holdpointd/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Three instances before the same targets, and what callers of each saw.
+//! Three instances that share targets, and the answers that callers of each received.
 
 use std::{
     net::SocketAddr,
@@ -12,7 +12,7 @@
 
 use super::{System, start};
 
-/// Time between two requests.
+/// Interval between two requests.
 pub const PAUSE: Duration = Duration::from_millis(25);
 
 pub struct Fleet {
@@ -20,9 +20,9 @@
     pub others: Vec<(Ingress, Gate)>,
 }
 
-/// A request as its caller saw it.
-pub struct Asked {
-    /// Index of the instance that was asked.
+/// A request and its answer, as seen by the caller.
+pub struct Exchange {
+    /// Index of the instance that received the request.
     pub instance: usize,
     pub id: String,
     pub sent: Instant,
@@ -30,7 +30,7 @@
     pub answer: CallerAnswer,
 }
 
-impl Asked {
+impl Exchange {
     pub fn is_served(&self) -> bool {
         self.answer.status == StatusCode::OK && self.answer.is_whole
     }
@@ -47,34 +47,34 @@
         std::iter::once(&self.system.instance).chain(self.others.iter().map(|it| &it.0))
     }
 
-    /// The ways of the instances to the store.
+    /// The gates through which the instances reach the store, in the order of the instances.
     pub fn gates(&self) -> impl Iterator<Item = &Gate> {
         std::iter::once(&self.system.store.gate).chain(self.others.iter().map(|it| &it.1))
     }
 
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.instances().map(|it| it.listen().callers.parse().unwrap()).collect()
     }
 
-    /// Sends requests to the instances in turn, again and again. Each id begins with `name`.
-    pub async fn ask(
+    /// Sends requests to the instances in turn for this time. Each id begins with `name`.
+    pub async fn send_for(
         &self,
         time: Duration,
         name: &str,
         request: impl Fn(usize, &str) -> CallerRequest,
-    ) -> Vec<Asked> {
-        let callers = self.callers();
-        let mut asked = JoinSet::new();
+    ) -> Vec<Exchange> {
+        let addresses = self.caller_addresses();
+        let mut exchanges = JoinSet::new();
         for round in 0..(time.as_millis() / PAUSE.as_millis()) as usize {
-            let (instance, id) = (round % callers.len(), format!("{name}-{round}"));
-            let (request, address) = (request(round, &id), callers[instance]);
-            asked.spawn(async move {
+            let (instance, id) = (round % addresses.len(), format!("{name}-{round}"));
+            let (request, address) = (request(round, &id), addresses[instance]);
+            exchanges.spawn(async move {
                 let sent = Instant::now();
-                let answer = call(address, request).await.expect("there is an answer");
-                Asked { instance, id, sent, ended: Instant::now(), answer }
+                let answer = call(address, request).await.expect("the instance answers");
+                Exchange { instance, id, sent, ended: Instant::now(), answer }
             });
             tokio::time::sleep(PAUSE).await;
         }
-        asked.join_all().await
+        exchanges.join_all().await
     }
 }
--- a/crates/holdpointd/tests/support/mod.rs
+++ b/crates/holdpointd/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A running system against a stand-in of the platform, for the tests of the ingress.
+//! Starts instances of the ingress against a stand-in of the platform, for its tests.
 
-// Each test file uses a part of it.
+// Each test file uses only some of these items.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod fleet;
@@ -13,10 +13,10 @@
 use holdpointd::ingress::Ingress;
 use serde_json::{Value, json};
 
-/// How long a condition may take to hold; a test that works takes a fraction of it.
+/// How long a test waits for a condition. Far longer than a passing test needs.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// One instance with its store and targets.
+/// An instance with its store and targets.
 pub struct System {
     pub store: Store,
     pub plain: Vec<Target>,
@@ -29,19 +29,19 @@
     start_with_seeds(name, gate, &[])
 }
 
-/// Starts an instance that knows the addresses of some peers from its settings.
+/// Starts an instance whose settings list the addresses of some peers.
 pub fn start_with_seeds(name: &str, gate: &Gate, seeds: &[String]) -> Ingress {
     start_with_settings(settings(name, gate, seeds))
 }
 
-/// Starts an instance with a link of so many Mbit/s.
+/// Starts an instance with a link of this many Mbit/s.
 pub fn start_linked(name: &str, gate: &Gate, link_mbps: f64) -> Ingress {
     let mut settings = settings(name, gate, &[]);
     settings["machine"] = json!({ "link_mbps": link_mbps });
     start_with_settings(settings)
 }
 
-/// Starts an instance in a region of two: `z1` is in the east, `z2` in the north.
+/// Starts an instance in one of two regions: `z1` is in the east, `z2` in the north.
 pub fn start_in(name: &str, region: &str, domain: &str, gate: &Gate) -> Ingress {
     let mut settings = settings(name, gate, &[]);
     settings["region"] = json!(region);
@@ -72,15 +72,17 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("the condition holds in time");
+    tokio::time::timeout(PATIENCE, wait)
+        .await
+        .expect("the condition became true within the timeout");
 }
 
 pub async fn start(plain: &[Behaviour], engines: &[Behaviour]) -> System {
     start_at(|gate| start_instance("a", gate), |_| "z1", plain, engines).await
 }
 
-/// Starts a system whose instance is started by `instance`, and whose targets of each service, by
-/// their index, stand in the failure domains that `domain` names.
+/// Starts a system. `instance` starts its instance, and `domain` returns the failure domain of a
+/// target by its index within the service.
 pub async fn start_at(
     instance: impl FnOnce(&Gate) -> Ingress,
     domain: impl Fn(usize) -> &'static str,
@@ -118,7 +120,7 @@
         self.instance.listen().callers.parse().unwrap()
     }
 
-    /// Starts more instances, and waits until all know each other and the targets.
+    /// Starts more instances, and waits until all have discovered each other and the targets.
     pub async fn start_others(&self, names: &[&str]) -> Vec<(Ingress, Gate)> {
         let mut others = Vec::new();
         for name in names {
@@ -127,9 +129,9 @@
         }
         let targets = self.plain.len() + self.engines.len() + 1;
         let all = || std::iter::once(&self.instance).chain(others.iter().map(|it| &it.0));
-        let knows_all =
+        let is_complete =
             |it: &Ingress| it.peer_count() == names.len() && it.target_count() == targets;
-        until(|| all().all(knows_all)).await;
+        until(|| all().all(is_complete)).await;
         others
     }
 
@@ -138,7 +140,7 @@
     }
 
     pub async fn send(&self, request: CallerRequest) -> CallerAnswer {
-        call(self.callers(), request).await.expect("there is an answer")
+        call(self.callers(), request).await.expect("the instance answers")
     }
 
     pub fn plain_runs(&self) -> usize {
