--- a/crates/holdpointd/tests/readers.rs
+++ b/crates/holdpointd/tests/readers.rs
@@ -1,5 +1,5 @@
-//! A few instances read the store and the others follow them: what each of them knows, and how
-//! often the store is asked.
+//! A few instances read the store and the others follow them. Checks the state that each instance
+//! has, and which instances call the store.
 
 mod support;
 
@@ -11,10 +11,10 @@
 
 use crate::support::{PATIENCE, System, start, start_at, start_instance, start_linked, until};
 
-/// Instances beside the system's own.
+/// Names of the instances other than the system's own.
 const OTHERS: [&str; 5] = ["b", "c", "d", "e", "f"];
 
-/// Several instances, each with a way of its own to the store.
+/// Several instances, each with its own gate to the store.
 struct Fleet {
     system: System,
     instances: Vec<(Ingress, Gate)>,
@@ -25,7 +25,7 @@
         Fleet::start_linked(1000.0).await
     }
 
-    /// Starts one whose instances have links of so many Mbit/s.
+    /// Starts a fleet whose instances have links of this many Mbit/s.
     async fn start_linked(link_mbps: f64) -> Fleet {
         let first = |gate: &Gate| start_linked("a", gate, link_mbps);
         let system = start_at(first, |_| "z1", &[Behaviour::Answer], &[]).await;
@@ -49,30 +49,32 @@
         self.all().map(|it| it.1.call_count()).collect()
     }
 
-    /// Indices of the instances that asked the store in a span in which one of them asked ten
+    /// Indices of the instances that call the store, observed until one of them has called it ten
     /// times.
-    async fn askers(&self) -> Vec<usize> {
+    async fn active_readers(&self) -> Vec<usize> {
         let before = self.counts();
-        let risen = || -> Vec<usize> {
+        let increases = || -> Vec<usize> {
             self.counts().iter().zip(&before).map(|(now, then)| now - then).collect()
         };
-        until(|| risen().iter().any(|it| 10 <= *it)).await;
-        risen().iter().enumerate().filter(|it| 0 < *it.1).map(|it| it.0).collect()
+        until(|| increases().iter().any(|it| 10 <= *it)).await;
+        increases().iter().enumerate().filter(|it| 0 < *it.1).map(|it| it.0).collect()
     }
 
-    /// Waits until no more than the readers ask the store.
+    /// Waits until at most three instances call the store, and returns their indices.
     async fn settle(&self) -> Vec<usize> {
-        let settled = async {
-            let mut askers = self.askers().await;
-            while 3 < askers.len() {
-                askers = self.askers().await;
+        let waiting = async {
+            let mut active_readers = self.active_readers().await;
+            while 3 < active_readers.len() {
+                active_readers = self.active_readers().await;
             }
-            askers
+            active_readers
         };
-        tokio::time::timeout(PATIENCE, settled).await.expect("few ask the store")
+        tokio::time::timeout(PATIENCE, waiting)
+            .await
+            .expect("at most three instances call the store")
     }
 
-    async fn all_know(&self, version: u64, targets: usize) {
+    async fn wait_until_known(&self, version: u64, targets: usize) {
         let knows = |it: &Ingress| it.version() == version && it.target_count() == targets;
         until(|| self.all().all(|it| knows(it.0))).await;
     }
@@ -85,12 +87,12 @@
     fleet.system.store.put_configuration(&sample_configuration(4));
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
     fleet.system.store.put_target(&joined, false);
-    fleet.all_know(4, 3).await;
+    fleet.wait_until_known(4, 3).await;
     fleet.system.store.put_target(&joined, true);
-    fleet.all_know(4, 2).await;
+    fleet.wait_until_known(4, 2).await;
 }
 
-/// News of many targets are packed, and so are the lists for an instance that starts among them.
+/// Updates about many targets are compressed, and so are the lists for an instance that starts meanwhile.
 #[tokio::test]
 async fn many_targets_that_join_and_leave_at_once_are_known_to_all() {
     let fleet = Fleet::start().await;
@@ -101,12 +103,12 @@
         joined.push((id.clone(), Target::start(&id, "plain", Behaviour::Answer).await));
     }
     joined.iter().for_each(|it| fleet.system.store.put_target(&it.1, false));
-    fleet.all_know(1, 62).await;
+    fleet.wait_until_known(1, 62).await;
     let gate = fleet.system.store.open_gate().await;
     let late = start_instance("late", &gate);
     until(|| late.target_count() == 62 && late.peer_count() == OTHERS.len() + 1).await;
     joined[..40].iter().for_each(|it| fleet.system.store.drop_target(&it.0));
-    fleet.all_know(1, 22).await;
+    fleet.wait_until_known(1, 22).await;
     until(|| late.target_count() == 22).await;
     assert_eq!(fleet.system.ask("r-1", "/safe/").await.status, http::StatusCode::OK);
 }
@@ -122,7 +124,7 @@
     }
     fleet.system.store.put_configuration(&sample_configuration(6));
     fleet.system.store.drop_target("i-plain-0");
-    fleet.all_know(6, 1).await;
+    fleet.wait_until_known(6, 1).await;
 }
 
 #[tokio::test]
@@ -132,7 +134,7 @@
     let mut index = 0;
     let mut stopped = Vec::new();
     while index < fleet.instances.len() {
-        // The system's own instance stays, whatever it does.
+        // The system's own instance is never stopped, even if it is a reader.
         if readers.contains(&(index + 1 + stopped.len())) {
             stopped.push(fleet.instances.remove(index));
         } else {
@@ -144,11 +146,11 @@
     }
     fleet.system.store.put_configuration(&sample_configuration(8));
     fleet.system.store.drop_target("i-plain-0");
-    fleet.all_know(8, 1).await;
+    fleet.wait_until_known(8, 1).await;
 }
 
-/// Entries lapse while the store is away, although their targets are well; they come back soon
-/// after its return. Until then an instance that believed the store would have no target left.
+/// Entries expire during an outage of the store although their targets are healthy, and are written
+/// again soon after it. Guards against an instance that drops these targets in between.
 #[tokio::test]
 async fn an_entry_that_lapsed_while_the_store_was_away_may_come_back() {
     let system = start(&[Behaviour::Answer], &[]).await;
@@ -161,41 +163,43 @@
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
     system.store.put_target(&joined, false);
     gate.set_outage(Outage::None);
-    // The new one is known only once the list was read in which the others are missing.
+    // The new target is known only once the list without the other entries has been read.
     until(|| system.instance.target_count() == 3).await;
     system.store.put_target(&system.encoder, false);
-    // One came back, the other did not.
+    // One entry was written again, the other was not.
     until(|| system.instance.target_count() == 2).await;
     assert_eq!(system.ask("r-1", "/safe/").await.status, http::StatusCode::OK);
     assert_eq!(joined.runs().len(), 1);
 }
 
-/// Seen on pcfo grown, hunt a2d2-3: 1,564 routes sent from peer to peer filled the links; peers
-/// took each other for silent, and each asked the next one.
+/// Guards against a large configuration that fills the narrow links between peers, which then treat
+/// each other as silent.
 #[tokio::test]
 async fn a_large_configuration_comes_from_the_store_to_each_over_narrow_links() {
     let fleet = Fleet::start_linked(0.1).await;
     let readers = fleet.settle().await;
     let before = fleet.counts();
     fleet.system.store.put_configuration(&large_configuration(4));
-    fleet.all_know(4, 2).await;
+    fleet.wait_until_known(4, 2).await;
     for (index, (now, then)) in fleet.counts().iter().zip(before).enumerate() {
-        assert!(readers.contains(&index) || then < *now, "instance {index} has read it");
+        assert!(
+            readers.contains(&index) || then < *now,
+            "instance {index} has not called the store"
+        );
     }
 }
 
-/// In a fleet of 985 instances each read 110 kB from the store with each change, 108 MB; two changes within a
-/// second kept its readers from it, and configurations came over 5 s late. A source whose link carries the
-/// packed configuration to all who follow it sends it.
+/// Guards against a fleet in which every instance reads each change from the store and overloads it. A reader
+/// whose link can carry the compressed configuration to all of its followers sends it.
 #[tokio::test]
 async fn a_large_configuration_comes_from_the_readers_over_wide_links() {
     let fleet = Fleet::start().await;
     let readers = fleet.settle().await;
     let before = fleet.counts();
     fleet.system.store.put_configuration(&large_configuration(4));
-    fleet.all_know(4, 2).await;
+    fleet.wait_until_known(4, 2).await;
     for (index, (now, then)) in fleet.counts().iter().zip(before).enumerate() {
-        assert!(readers.contains(&index) || then == *now, "instance {index} has asked the store");
+        assert!(readers.contains(&index) || then == *now, "instance {index} has called the store");
     }
 }
 
@@ -207,13 +211,13 @@
         gate.set_outage(Outage::Busy);
     }
     fleet.system.store.put_configuration(&large_configuration(4));
-    fleet.all_know(4, 2).await;
+    fleet.wait_until_known(4, 2).await;
 }
 
-/// Seen on armor grown trouble-1, seed 390649907891: a reader that had been cut off read on from
-/// where it had been, met the old entry of a target that was gone, and told its followers.
+/// Guards against a reader that was cut off, goes on reading from its old offset, and reports the old
+/// entry of a target that has been removed.
 #[tokio::test]
-async fn a_reader_that_was_cut_off_does_not_bring_back_who_has_left() {
+async fn a_reader_that_was_cut_off_does_not_restore_a_removed_target() {
     let system = start(&[Behaviour::Answer], &[]).await;
     let gate = system.store.open_gate().await;
     let other = start_instance("b", &gate);
@@ -229,17 +233,17 @@
     let before = gate.call_count();
     gate.set_outage(Outage::None);
     until(|| {
-        assert!(all_count(2), "the one that has left is not taken back");
+        assert!(all_count(2), "the removed target was restored");
         before + 12 < gate.call_count()
     })
     .await;
 }
 
-/// An instance that was cut off from the store and its peers finds an entry missing as it comes back.
-/// It cannot know whether the entry lapsed while the store was away; a peer that has read the store
-/// all the while does.
+/// An instance that was cut off from the store and its peers finds an entry missing once it is
+/// reconnected. It cannot know whether the entry expired in an outage of the store, but a peer that
+/// has read the store without interruption can.
 #[tokio::test]
-async fn an_instance_that_was_cut_off_by_itself_learns_at_once_who_has_left() {
+async fn an_instance_that_was_cut_off_alone_learns_at_once_of_removed_targets() {
     let system = start(&[Behaviour::Answer], &[]).await;
     let relay = Relay::start().await;
     relay.lead_to(&system.instance.listen().peers);
@@ -256,9 +260,9 @@
     system.store.put_target(&joined, false);
     relay.lose(false, false);
     gate.set_outage(Outage::None);
-    // The new one is known only once the list was read in which the other is missing.
+    // The new target is known only once the list without the other entry has been read.
     until(|| other.target_count() == 3).await;
-    // What is not read any more cannot tell that the entry stays away.
+    // With the store unavailable, only the peer can report that the entry was removed.
     gate.set_outage(Outage::Busy);
     until(|| other.target_count() == 2).await;
 }
