--- a/crates/holdpointd/tests/regions.rs
+++ b/crates/holdpointd/tests/regions.rs
@@ -1,5 +1,5 @@
-//! Two regions: which targets serve a request, and who batches for it, when all is well and when a
-//! region lacks targets or instances.
+//! Two regions: which targets serve a request and which region batches its work items, in normal
+//! operation and when a region lacks targets or instances.
 
 mod support;
 
@@ -14,18 +14,18 @@
 
 use crate::support::{start_in, until};
 
-/// Targets that stand in one region.
-struct Half {
+/// The targets of one region.
+struct RegionTargets {
     domain: &'static str,
     plain: Target,
     engine: Target,
     encoder: Target,
 }
 
-impl Half {
-    async fn start(region: &str, domain: &'static str) -> Half {
+impl RegionTargets {
+    async fn start(region: &str, domain: &'static str) -> RegionTargets {
         let id = |it: &str| format!("i-{it}-{region}");
-        Half {
+        RegionTargets {
             domain,
             plain: Target::start(&id("plain"), "plain", Behaviour::Answer).await,
             engine: Target::start(&id("engine"), "engine", Behaviour::Events(2)).await,
@@ -41,21 +41,21 @@
 /// One instance in each of two regions, and targets of all services in both.
 struct System {
     store: Store,
-    east: Half,
-    north: Half,
+    east: RegionTargets,
+    north: RegionTargets,
     a: Ingress,
     b: Ingress,
-    /// What the instance in the north runs on.
+    /// Runtime of the instance in the north, which tests shut down to kill it.
     b_runtime: Runtime,
 }
 
 async fn start() -> System {
     let store = Store::start().await;
     store.put_configuration(&sample_configuration(1));
-    let east = Half::start("east", "z1").await;
-    let north = Half::start("north", "z2").await;
-    for half in [&east, &north] {
-        half.all().into_iter().for_each(|it| store.put_target_in(it, half.domain, 0));
+    let east = RegionTargets::start("east", "z1").await;
+    let north = RegionTargets::start("north", "z2").await;
+    for region in [&east, &north] {
+        region.all().into_iter().for_each(|it| store.put_target_in(it, region.domain, 0));
     }
     let a = start_in("a", "east", "z1", &store.gate);
     let b_runtime = Runtime::new().unwrap();
@@ -67,21 +67,21 @@
 }
 
 impl System {
-    /// Drops targets, and waits until the instances know it.
-    async fn lose(&self, targets: &[&Target]) {
-        let left = self.a.target_count() - targets.len();
+    /// Removes targets, and waits until both instances have dropped them.
+    async fn remove(&self, targets: &[&Target]) {
+        let remaining = self.a.target_count() - targets.len();
         targets.iter().for_each(|it| self.store.drop_target(&it.id));
-        until(|| [&self.a, &self.b].iter().all(|it| it.target_count() == left)).await;
+        until(|| [&self.a, &self.b].iter().all(|it| it.target_count() == remaining)).await;
     }
 }
 
-/// Sends staged requests to an instance, one after the other; each is answered whole.
-async fn staged(instance: &Ingress, name: &str, count: usize) {
+/// Sends staged requests to an instance one after the other, and checks that each is served.
+async fn send_staged(instance: &Ingress, name: &str, count: usize) {
     for id in 0..count {
         let request = CallerRequest::new(&format!("{name}-{id}"), "/staged/");
         let request = request.with_prompt("p:100").with_pieces("2,1");
         let callers = instance.listen().callers.parse().unwrap();
-        let answer = call(callers, request).await.expect("there is an answer");
+        let answer = call(callers, request).await.expect("the instance answers");
         assert_eq!(answer.status, StatusCode::OK, "{name}-{id}");
         assert!(answer.is_whole);
     }
@@ -90,13 +90,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn each_region_serves_its_own_requests() {
     let system = start().await;
-    staged(&system.a, "a", 6).await;
+    send_staged(&system.a, "a", 6).await;
     assert_ne!(system.east.encoder.batches().len(), 0);
     assert_eq!(system.east.engine.runs().len(), 6);
     assert_eq!(system.north.encoder.batches().len(), 0);
     assert_eq!(system.north.engine.runs().len(), 0);
     let before = system.east.encoder.batches().len();
-    staged(&system.b, "b", 6).await;
+    send_staged(&system.b, "b", 6).await;
     assert_ne!(system.north.encoder.batches().len(), 0);
     assert_eq!(system.north.engine.runs().len(), 6);
     assert_eq!(system.east.encoder.batches().len(), before);
@@ -106,10 +106,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_goes_to_the_other_region_whole_where_its_own_lacks_a_stage() {
     let system = start().await;
-    system.lose(&[&system.north.encoder]).await;
-    staged(&system.b, "b", 6).await;
+    system.remove(&[&system.north.encoder]).await;
+    send_staged(&system.b, "b", 6).await;
     assert_ne!(system.east.encoder.batches().len(), 0);
-    assert_eq!(system.east.engine.runs().len(), 6, "its engine is beside its results");
+    assert_eq!(
+        system.east.engine.runs().len(),
+        6,
+        "engines run in the region of the stage results"
+    );
     assert_eq!(system.north.engine.runs().len(), 0);
     system.b_runtime.shutdown_background();
 }
@@ -117,10 +121,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_goes_to_the_other_region_whole_where_its_own_lacks_engines() {
     let system = start().await;
-    system.lose(&[&system.north.engine]).await;
-    staged(&system.b, "b", 6).await;
+    system.remove(&[&system.north.engine]).await;
+    send_staged(&system.b, "b", 6).await;
     assert_eq!(system.east.engine.runs().len(), 6);
-    assert_eq!(system.north.encoder.batches().len(), 0, "its results are beside its engine");
+    assert_eq!(system.north.encoder.batches().len(), 0, "stages run in the region of the engine");
     system.b_runtime.shutdown_background();
 }
 
@@ -129,21 +133,21 @@
     let system = start().await;
     system.store.evacuate("z2");
     until(|| system.b.open_count() == 3 && system.a.open_count() == 3).await;
-    staged(&system.b, "b", 4).await;
+    send_staged(&system.b, "b", 4).await;
     assert_eq!(system.east.engine.runs().len(), 4);
     system.store.restore("z2");
     until(|| system.b.open_count() == 6 && system.a.open_count() == 6).await;
-    staged(&system.b, "c", 4).await;
+    send_staged(&system.b, "c", 4).await;
     assert_eq!(system.north.engine.runs().len(), 4);
     system.b_runtime.shutdown_background();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn services_that_no_region_has_whole_are_served_across() {
+async fn a_request_is_split_between_regions_if_neither_has_all_services() {
     let system = start().await;
-    system.lose(&[&system.north.encoder, &system.east.engine]).await;
-    staged(&system.a, "a", 3).await;
-    staged(&system.b, "b", 3).await;
+    system.remove(&[&system.north.encoder, &system.east.engine]).await;
+    send_staged(&system.a, "a", 3).await;
+    send_staged(&system.b, "b", 3).await;
     assert_eq!(system.north.engine.runs().len(), 6);
     assert_ne!(system.east.encoder.batches().len(), 0);
     system.b_runtime.shutdown_background();
@@ -152,11 +156,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_of_a_region_whose_instances_are_all_killed_are_used_from_the_other() {
     let system = start().await;
-    system.lose(&[&system.east.encoder]).await;
-    staged(&system.a, "a", 2).await;
+    system.remove(&[&system.east.encoder]).await;
+    send_staged(&system.a, "a", 2).await;
     system.b_runtime.shutdown_background();
-    // Nobody batches in the north any more.
-    staged(&system.a, "c", 4).await;
+    // No instance batches in the north any more.
+    send_staged(&system.a, "c", 4).await;
     assert_ne!(system.north.encoder.batches().len(), 0);
     let runs = system.north.engine.runs().len() + system.east.engine.runs().len();
     assert_eq!(runs, 6);
@@ -171,7 +175,7 @@
         assert_eq!(answer.status, StatusCode::OK);
     }
     assert_eq!(system.north.plain.runs().len(), 10);
-    system.lose(&[&system.north.plain]).await;
+    system.remove(&[&system.north.plain]).await;
     let answer = call(callers, CallerRequest::new("r-last", "/safe/")).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(system.east.plain.runs().len(), 1);
@@ -181,39 +185,43 @@
 /// Index of the route of staged requests in the sample configuration.
 const STAGED: usize = 6;
 
-/// A configuration whose staged requests are late after 700 ms.
-fn short_of_time() -> serde_json::Value {
+/// A configuration in which staged requests are late after 700 ms.
+fn short_deadlines() -> serde_json::Value {
     let mut configuration = sample_configuration(2);
     set_pace(&mut configuration, STAGED, 700, 500);
     configuration
 }
 
-fn staged_request(id: &str, pieces: &str) -> CallerRequest {
-    CallerRequest::new(id, "/staged/").with_prompt("p:100").with_pieces(pieces)
+fn staged_request(id: &str, item_counts: &str) -> CallerRequest {
+    CallerRequest::new(id, "/staged/").with_prompt("p:100").with_pieces(item_counts)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_loaded_region_cannot_serve_in_time_goes_to_the_other_whole() {
+async fn a_whole_request_that_a_loaded_region_would_serve_late_goes_to_the_other() {
     let system = start().await;
-    system.store.put_configuration(&short_of_time());
+    system.store.put_configuration(&short_deadlines());
     until(|| system.a.version() == 2 && system.b.version() == 2).await;
     system.north.encoder.set_behaviour(Behaviour::HoldPieces);
     let callers = system.b.listen().callers.parse().unwrap();
-    // The first one keeps the only target of its stages busy, and the others wait behind it.
-    let mut asked = Vec::new();
+    // The first request keeps the only target of the stage busy, and the others queue behind it.
+    let mut calls = Vec::new();
     while system.east.engine.runs().is_empty() {
-        assert!(asked.len() < 1000, "places are borrowed in the end");
-        let request = staged_request(&format!("r-{}", asked.len()), "10,1");
-        asked.push(tokio::spawn(call(callers, request)));
+        assert!(calls.len() < 1000, "no request was moved to the other region");
+        let request = staged_request(&format!("r-{}", calls.len()), "10,1");
+        calls.push(tokio::spawn(call(callers, request)));
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let served = system.east.engine.runs()[0].request.clone();
-    let of = |target: &Target| {
-        let pieces = target.batches().into_iter().flatten();
-        pieces.filter(|it| it.to_string().contains(&format!("\"{served}\""))).count()
+    let item_count = |target: &Target| {
+        let items = target.batches().into_iter().flatten();
+        items.filter(|it| it.to_string().contains(&format!("\"{served}\""))).count()
     };
-    assert_eq!(of(&system.east.encoder), 11, "all its pieces are made where it is served");
-    assert_eq!(of(&system.north.encoder), 0, "no work was done for it before");
-    asked.iter().for_each(tokio::task::JoinHandle::abort);
+    assert_eq!(
+        item_count(&system.east.encoder),
+        11,
+        "all items are computed in the region that serves it"
+    );
+    assert_eq!(item_count(&system.north.encoder), 0, "no item was computed in its own region");
+    calls.iter().for_each(tokio::task::JoinHandle::abort);
     system.b_runtime.shutdown_background();
 }
--- a/crates/holdpointd/tests/rollouts.rs
+++ b/crates/holdpointd/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Versions that are rolled out: what targets and operators see, counted at the targets' sockets.
+//! Roll-outs of versions: their statuses for the operator, and the requests that reach the targets.
 
 mod support;
 
@@ -23,23 +23,19 @@
 
 use crate::support::{start_with_seeds, until};
 
-/// Time that orders state, in seconds. On a machine that is busy with other tests, requests come so slowly that
-/// a good version was not yet judged after 14 s, and was rightly taken back before its deadline:
-///
-/// ```text
-/// E751 n-1: roll-out phase began: … phase=RolledBack reason=Unjudged reached=1299 exposed=66 … failures=0
-/// ```
+/// Deadline of roll-outs, in seconds. Long enough to judge a good version on a busy machine, where requests come
+/// slowly.
 const DURATION_S: f64 = 40.0;
-/// The same where nothing but the deadline ends a roll-out, in seconds.
-const SHORT_S: f64 = 16.0;
+/// Deadline of roll-outs that only their deadline ends, in seconds.
+const SHORT_DURATION_S: f64 = 16.0;
 const GOOD: Behaviour =
     Behaviour::Bad(Badness { percent: 0, slow_ms: 0, after: 0, path: "", above: 0 });
 
-/// Instances, targets of two versions, and callers who send requests until it is dropped.
+/// Instances, targets of two versions, and callers that send requests until `stop` is set.
 struct Fleet {
     store: Store,
     service: &'static str,
-    /// Targets of other services that requests need.
+    /// Targets of the other services that requests use.
     others: Vec<Target>,
     gates: Vec<Gate>,
     instances: Vec<Option<Ingress>>,
@@ -48,8 +44,9 @@
     callers: Vec<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
     failed: Arc<AtomicUsize>,
-    /// A runtime of its own for each instance that is killed, and where its callers find it.
+    /// Runtime of each instance that a test kills.
     runtimes: Vec<Option<Runtime>>,
+    /// Addresses to which callers send their requests.
     addresses: Arc<Mutex<Vec<SocketAddr>>>,
 }
 
@@ -139,7 +136,7 @@
         self.set_addresses();
     }
 
-    /// Ends all of an instance's tasks where they are.
+    /// Kills an instance: all of its tasks end at once, without a planned stop.
     fn kill(&mut self, index: usize) {
         self.runtimes[index].take().unwrap().shutdown_background();
         self.instances[index] = None;
@@ -150,13 +147,13 @@
         *self.addresses.lock().unwrap() = addresses.collect();
     }
 
-    /// Has callers send requests of two routes to all instances, some 300 a second.
-    fn call(&mut self) {
+    /// Starts callers that send requests of two routes to all instances, about 300 a second.
+    fn start_callers(&mut self) {
         self.set_addresses();
-        self.call_any();
+        self.spawn_callers();
     }
 
-    fn call_any(&mut self) {
+    fn spawn_callers(&mut self) {
         for caller in 0..6 {
             let (addresses, service) = (self.addresses.clone(), self.service);
             let (stop, failed) = (self.stop.clone(), self.failed.clone());
@@ -179,33 +176,37 @@
         }
     }
 
-    fn order(&self) {
-        self.order_within(DURATION_S);
+    fn order_rollout(&self) {
+        self.order_rollout_within(DURATION_S);
     }
 
-    fn order_within(&self, seconds: f64) {
+    fn order_rollout_within(&self, seconds: f64) {
         self.new.iter().for_each(|it| self.store.put_version(it, "v2", false));
         self.store.order_rollout(self.service, "v2", seconds);
     }
 
-    fn states(&self) -> Vec<String> {
+    fn statuses(&self) -> Vec<String> {
         self.store.rollout_statuses(self.service).into_iter().map(|it| it.0).collect()
     }
 
-    /// Waits for the final status, plays what follows from it, and checks what every roll-out keeps:
-    /// one final status at the end, and the bound at the targets' sockets for a bad version.
-    async fn end(mut self, ordered: Instant) -> String {
-        let is_final = || self.states().last().is_some_and(|it| it != "running");
+    /// Waits for the final status, stops the old targets if the roll-out is completed, and returns the status.
+    /// Checks that there is exactly one final status, and that a version that was rolled back has received
+    /// no more requests than its bound allows.
+    async fn finish(mut self, ordered: Instant) -> String {
+        let is_final = || self.statuses().last().is_some_and(|it| it != "running");
         while !is_final() && ordered.elapsed() < Duration::from_secs_f64(DURATION_S) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert!(is_final(), "before the deadline");
-        let last = self.states().last().cloned().unwrap();
+        assert!(is_final(), "no final status before the deadline");
+        let last = self.statuses().last().cloned().unwrap();
         let ended = Instant::now();
-        assert!(ended < ordered + Duration::from_secs_f64(DURATION_S), "before the deadline");
+        assert!(
+            ended < ordered + Duration::from_secs_f64(DURATION_S),
+            "the final status came after the deadline"
+        );
         let exposed_at_end = self.exposed(ended);
         if last == "completed" {
-            // The old ones stop at once.
+            // The old targets stop at once.
             self.old.iter().for_each(|it| it.set_behaviour(Behaviour::RunAndCut));
             self.old.iter().for_each(|it| self.store.drop_target(&it.id));
         }
@@ -214,28 +215,30 @@
         for it in self.callers.drain(..) {
             it.await.unwrap();
         }
-        let finals = self.states().into_iter().filter(|it| it != "running").count();
-        assert_eq!(finals, 1, "{:?}", self.states());
+        let finals = self.statuses().into_iter().filter(|it| it != "running").count();
+        assert_eq!(finals, 1, "{:?}", self.statuses());
         let deadline = ordered + Duration::from_secs_f64(DURATION_S);
         let reached = self.reached(ordered, deadline);
         if last == "rolled_back" {
             let late = self.runs_after(&self.new, ended + Duration::from_millis(1000));
-            assert_eq!(late, 0, "nothing goes to a version that was taken back");
+            assert_eq!(late, 0, "requests were sent to a version that was rolled back");
             let exposed = self.exposed(deadline);
             assert!(exposed as f64 <= 0.1 * reached as f64 + 50.0, "{exposed} of {reached}");
         } else {
             let late = self.runs_after(&self.old, ended + Duration::from_millis(100));
-            assert_eq!(late, 0, "nothing goes to targets that were stopped");
+            assert_eq!(late, 0, "requests were sent to targets that were stopped");
         }
         println!("{last}: {exposed_at_end} of {reached} after {:?}", ended - ordered);
         last
     }
 
+    /// Number of requests that the new version received up to this time.
     fn exposed(&self, until: Instant) -> usize {
         let runs = self.new.iter().flat_map(Target::runs);
         runs.filter(|it| it.at <= until).count()
     }
 
+    /// Number of requests that targets of either version received in this time.
     fn reached(&self, from: Instant, until: Instant) -> usize {
         let runs = self.new.iter().chain(&self.old).flat_map(Target::runs);
         runs.filter(|it| (from..until).contains(&it.at)).count()
@@ -259,28 +262,28 @@
     }
 }
 
-async fn play_for(service: &'static str, old: Behaviour, new: Behaviour) -> String {
+async fn roll_out_for(service: &'static str, old: Behaviour, new: Behaviour) -> String {
     let mut fleet = Fleet::start_for(service, (old, new), 3).await;
-    fleet.call();
-    fleet.order();
-    fleet.end(Instant::now()).await
+    fleet.start_callers();
+    fleet.order_rollout();
+    fleet.finish(Instant::now()).await
 }
 
 #[tokio::test]
 async fn a_good_version_of_engines_is_completed() {
     let good = Behaviour::Events(3);
-    assert_eq!(play_for("engine", good, good).await, "completed");
+    assert_eq!(roll_out_for("engine", good, good).await, "completed");
 }
 
 #[tokio::test]
 async fn a_version_of_engines_that_fails_is_taken_back() {
     let bad = Behaviour::BreakAfter(0);
-    assert_eq!(play_for("engine", Behaviour::Events(3), bad).await, "rolled_back");
+    assert_eq!(roll_out_for("engine", Behaviour::Events(3), bad).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_good_version_that_makes_stages_is_completed() {
-    assert_eq!(play_for("encode", GOOD, GOOD).await, "completed");
+    assert_eq!(roll_out_for("encode", GOOD, GOOD).await, "completed");
 }
 
 #[tokio::test]
@@ -288,76 +291,76 @@
     let bad = Behaviour::Bad(Badness::failures(30));
     let mut fleet = Fleet::start_for("encode", (GOOD, bad), 3).await;
     let (old, new) = (fleet.old.clone(), fleet.new.clone());
-    fleet.call();
-    fleet.order();
-    assert_eq!(fleet.end(Instant::now()).await, "rolled_back");
-    let pieces = |targets: &[Target]| -> usize {
+    fleet.start_callers();
+    fleet.order_rollout();
+    assert_eq!(fleet.finish(Instant::now()).await, "rolled_back");
+    let item_count = |targets: &[Target]| -> usize {
         targets.iter().flat_map(Target::batches).map(|it| it.len()).sum()
     };
-    let (exposed, others) = (pieces(&new), pieces(&old));
-    assert!(0 < exposed, "the version was tried");
+    let (exposed, others) = (item_count(&new), item_count(&old));
+    assert!(0 < exposed, "the new version received no items");
     assert!(exposed as f64 <= 0.1 * (exposed + others) as f64 + 50.0, "{exposed} and {others}");
 }
 
-async fn play(new: Behaviour) -> String {
+async fn roll_out(new: Behaviour) -> String {
     let mut fleet = Fleet::start(new, 3).await;
-    fleet.call();
-    fleet.order();
-    fleet.end(Instant::now()).await
+    fleet.start_callers();
+    fleet.order_rollout();
+    fleet.finish(Instant::now()).await
 }
 
 #[tokio::test]
 async fn a_good_version_is_completed() {
-    assert_eq!(play(GOOD).await, "completed");
+    assert_eq!(roll_out(GOOD).await, "completed");
 }
 
 #[tokio::test]
 async fn a_version_that_fails_is_taken_back() {
-    assert_eq!(play(Behaviour::Bad(Badness::failures(30))).await, "rolled_back");
+    assert_eq!(roll_out(Behaviour::Bad(Badness::failures(30))).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_version_that_fails_later_is_taken_back() {
     let later = Badness { after: 8, ..Badness::failures(40) };
-    assert_eq!(play(Behaviour::Bad(later)).await, "rolled_back");
+    assert_eq!(roll_out(Behaviour::Bad(later)).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_version_that_fails_on_one_route_is_taken_back() {
     let on_one = Badness { path: "/unsafe/", ..Badness::failures(50) };
-    assert_eq!(play(Behaviour::Bad(on_one)).await, "rolled_back");
+    assert_eq!(roll_out(Behaviour::Bad(on_one)).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_version_that_is_slow_is_taken_back() {
     let slow = Badness { slow_ms: 120, ..Badness::failures(50) };
-    assert_eq!(play(Behaviour::Bad(slow)).await, "rolled_back");
+    assert_eq!(roll_out(Behaviour::Bad(slow)).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_version_that_nobody_runs_is_rolled_back() {
     let mut fleet = Fleet::start(GOOD, 2).await;
-    fleet.call();
-    fleet.store.order_rollout("plain", "v2", SHORT_S);
-    assert_eq!(fleet.end(Instant::now()).await, "rolled_back");
+    fleet.start_callers();
+    fleet.store.order_rollout("plain", "v2", SHORT_DURATION_S);
+    assert_eq!(fleet.finish(Instant::now()).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn an_order_withdrawn_is_rolled_back() {
     let mut fleet = Fleet::start(GOOD, 2).await;
-    fleet.call();
-    fleet.order();
+    fleet.start_callers();
+    fleet.order_rollout();
     let ordered = Instant::now();
     until(|| fleet.running().all(|it| it.rollout("plain") == Some(Phase::Canary))).await;
     fleet.store.withdraw_rollout("plain");
-    assert_eq!(fleet.end(ordered).await, "rolled_back");
+    assert_eq!(fleet.finish(ordered).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn without_a_driver_that_reads_the_store_nothing_goes_to_the_version() {
     let mut fleet = Fleet::start(GOOD, 2).await;
-    fleet.call();
-    fleet.order_within(SHORT_S);
+    fleet.start_callers();
+    fleet.order_rollout_within(SHORT_DURATION_S);
     until(|| fleet.running().all(|it| it.rollout("plain") == Some(Phase::Canary))).await;
     fleet.gates.iter().for_each(|it| it.set_outage(Outage::Busy));
     until(|| fleet.running().all(|it| it.rollout("plain").is_none())).await;
@@ -365,17 +368,17 @@
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(fleet.runs_after(&fleet.new, silent), 0);
     fleet.gates.iter().for_each(|it| it.set_outage(Outage::None));
-    until(|| fleet.states().last().is_some_and(|it| it != "running")).await;
+    until(|| fleet.statuses().last().is_some_and(|it| it != "running")).await;
 }
 
-/// Each instance in turn is stopped, so whichever drives it is among them.
+/// Instances are stopped one after the other while one of them drives the roll-out.
 #[tokio::test]
 async fn a_bad_version_is_taken_back_although_its_drivers_are_stopped() {
     let mut fleet = Fleet::start(Behaviour::Bad(Badness::failures(30)), 3).await;
-    fleet.call();
-    fleet.order();
+    fleet.start_callers();
+    fleet.order_rollout();
     let ordered = Instant::now();
-    until(|| !fleet.states().is_empty()).await;
+    until(|| !fleet.statuses().is_empty()).await;
     for index in 0..2 {
         let stopped = fleet.instances[index].take().unwrap();
         stopped.stop().await;
@@ -383,37 +386,37 @@
         let name = format!("n-{index}");
         fleet.instances[index] = Some(start_with_seeds(&name, &fleet.gates[index], &seeds));
     }
-    assert_eq!(fleet.end(ordered).await, "rolled_back");
+    assert_eq!(fleet.finish(ordered).await, "rolled_back");
 }
 
-/// The only instance that reaches the store takes the roll-out over, whoever drove it.
+/// The only instance that can reach the store takes over the roll-out.
 #[tokio::test]
 async fn a_driver_that_is_cut_off_from_the_store_is_replaced() {
     let later = Badness { after: 6, ..Badness::failures(40) };
     let mut fleet = Fleet::start(Behaviour::Bad(later), 3).await;
-    fleet.call();
-    fleet.order();
+    fleet.start_callers();
+    fleet.order_rollout();
     let ordered = Instant::now();
     until(|| fleet.running().all(|it| it.rollout("plain") == Some(Phase::Canary))).await;
     fleet.gates[..2].iter().for_each(|it| it.set_outage(Outage::Busy));
-    assert_eq!(fleet.end(ordered).await, "rolled_back");
+    assert_eq!(fleet.finish(ordered).await, "rolled_back");
 }
 
-/// Instances are killed one after the other, whichever of them drives, each at another step.
+/// Each instance is killed in turn, so that the driver is killed at some step of the roll-out.
 #[tokio::test]
 async fn killed_drivers_leave_one_final_status_and_the_bound_holds() {
     for new in [GOOD, Behaviour::Bad(Badness::failures(30))] {
         let mut fleet = Fleet::start(new, 0).await;
         fleet.add_killable(3).await;
-        fleet.call_any();
-        fleet.order();
+        fleet.spawn_callers();
+        fleet.order_rollout();
         let ordered = Instant::now();
         for index in 0..3 {
             tokio::time::sleep(Duration::from_millis(700)).await;
             fleet.kill(index);
             fleet.start_killable(index);
         }
-        let last = fleet.end(ordered).await;
+        let last = fleet.finish(ordered).await;
         assert!(new == GOOD || last == "rolled_back", "{last}");
     }
 }
@@ -421,9 +424,9 @@
 #[tokio::test]
 async fn an_instance_that_starts_after_the_end_knows_it() {
     let mut fleet = Fleet::start(Behaviour::Bad(Badness::failures(40)), 2).await;
-    fleet.call();
-    fleet.order();
-    until(|| fleet.states().last().is_some_and(|it| it != "running")).await;
+    fleet.start_callers();
+    fleet.order_rollout();
+    until(|| fleet.statuses().last().is_some_and(|it| it != "running")).await;
     let gate = fleet.store.open_gate().await;
     let started = start_with_seeds("n-late", &gate, &fleet.seeds());
     until(|| started.rollout("plain") == Some(Phase::RolledBack)).await;
@@ -432,9 +435,9 @@
         let answer = call(address, CallerRequest::new(&format!("late-{id}"), "/safe/")).await;
         assert!(answer.unwrap().status.is_success());
     }
-    // The others may hear of the end a moment later.
+    // Only requests of the late instance are checked: the others may receive the final status later.
     let runs = fleet.new.iter().flat_map(Target::runs);
     assert_eq!(runs.filter(|it| it.request.starts_with("late-")).count(), 0);
-    assert_eq!(fleet.states().last().unwrap(), "rolled_back");
+    assert_eq!(fleet.statuses().last().unwrap(), "rolled_back");
     fleet.stop.store(true, Ordering::Release);
 }
