--- a/crates/holdpointd/tests/process.rs
+++ b/crates/holdpointd/tests/process.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process of its own: settings, signals, exit codes, and a pause.
+//! The daemon as a separate process: settings, signals, exit codes, and a pause by SIGSTOP.
 
 use std::{
     fs,
@@ -15,7 +15,7 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_holdpointd");
 const TOKEN: &str = "secret-operator";
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
     path
@@ -32,7 +32,7 @@
 }
 
 impl Daemon {
-    /// Starts the binary; its ports are free ones, since another process has to know them.
+    /// Starts the binary with free ports picked here, since the test has to know them.
     fn start(name: &str, log: &LogStandin, list: &ListStandin) -> Daemon {
         let (callers, operators, peers) = (free_port(), free_port(), free_port());
         let address = |port: u16| format!("127.0.0.1:{port}");
@@ -44,7 +44,7 @@
             "resume_keys": [{ "id": 1, "secret": "0123456789abcdef" }],
             "timing": { "confirm_ms": 600, "dead_ms": 600, "log_timeout_ms": 200, "list_poll_ms": 100 }
         });
-        let path = file(&format!("{name}.jsonc"), &format!("// A comment.\n{settings}"));
+        let path = write_file(&format!("{name}.jsonc"), &format!("// A comment.\n{settings}"));
         let child = Command::new(BINARY)
             .args(["--settings", path.to_str().unwrap(), "--log-level", "off"])
             .spawn()
@@ -60,25 +60,25 @@
 
     async fn until_ready(&self, http: &Http) {
         for _ in 0..1000 {
-            let call = self.get(http, "/readyz").await;
-            if call.is_ok_and(|it| it == 200) {
+            let res = self.get(http, "/readyz").await;
+            if res.is_ok_and(|it| it == 200) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("the daemon is not ready");
+        panic!("the daemon did not become ready within 1000 tries");
     }
 
     async fn get(&self, http: &Http, path: &str) -> Result<u16, CallError> {
-        let limit = Duration::from_secs(5);
-        let reply = http.call(Method::GET, &self.callers, path, &[], Vec::new(), limit).await?;
+        let timeout = Duration::from_secs(5);
+        let reply = http.call(Method::GET, &self.callers, path, &[], Vec::new(), timeout).await?;
         Ok(reply.status.as_u16())
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
@@ -90,9 +90,11 @@
 
 #[test]
 fn settings_that_cannot_be_used_end_with_one_line_and_code_2() {
-    let bad =
-        file("bad.jsonc", r#"{ "instance": "Bad Name", "domain": "d", "listen": {}, "extra": 1 }"#);
-    let cut = file("cut.jsonc", "{ \"instance\": ");
+    let bad = write_file(
+        "bad.jsonc",
+        r#"{ "instance": "Bad Name", "domain": "d", "listen": {}, "extra": 1 }"#,
+    );
+    let cut = write_file("cut.jsonc", "{ \"instance\": ");
     for path in [bad.to_str().unwrap(), cut.to_str().unwrap(), "/does/not/exist"] {
         let output = run(&["--settings", path]);
         let text = String::from_utf8(output.stderr).unwrap();
@@ -101,7 +103,7 @@
     }
     let text = String::from_utf8(run(&["--settings", bad.to_str().unwrap()]).stderr).unwrap();
     for part in ["/instance", "/listen", "extra", "platform"] {
-        assert!(text.contains(part), "{part} is named: {text}");
+        assert!(text.contains(part), "the error names {part}: {text}");
     }
 }
 
@@ -134,22 +136,22 @@
     let organisation = json!({ "key_sha256": [holdpoint_core::ids::sha256_hex(b"key")] });
     operator.put("organisations", "o", &organisation, &ChangeForm::default()).await.unwrap();
     daemon.signal("-STOP");
-    // While it sleeps, the log goes down and another instance is listed that does not answer:
-    // when it wakes it can confirm nothing.
+    // While the process is stopped, the log fails and an unreachable instance is listed, so that
+    // no confirmation succeeds once the process continues.
     log.faults().outage = true;
     list.add_instance("other", "127.0.0.1:1");
     tokio::time::sleep(Duration::from_millis(1500)).await;
     let headers = [("authorization", "Bearer key".to_owned())];
     let path = "/v1/pipelines/none/requests";
-    let limit = Duration::from_secs(10);
-    let (asked, ()) = tokio::join!(
-        http.call(Method::POST, &daemon.callers, path, &headers, b"{}".to_vec(), limit),
+    let timeout = Duration::from_secs(10);
+    let (res, ()) = tokio::join!(
+        http.call(Method::POST, &daemon.callers, path, &headers, b"{}".to_vec(), timeout),
         async {
             tokio::time::sleep(Duration::from_millis(100)).await;
             daemon.signal("-CONT");
         }
     );
-    let reply = asked.unwrap();
+    let reply = res.unwrap();
     let problem: Value = serde_json::from_slice(&reply.body).unwrap();
     assert_eq!(problem["type"], "urn:holdpoint:problem:not-ready", "{problem}");
     assert_eq!(problem["run"], "no");
--- a/crates/holdpointd/tests/slow_readers.rs
+++ b/crates/holdpointd/tests/slow_readers.rs
@@ -1,6 +1,6 @@
-//! Callers that read their answers slowly, or not at all: what the daemon keeps for them stays within its bound,
-//! others are served, and what is kept is given back. The daemon is a process of its own, so that its memory
-//! can be measured.
+//! Callers that read their answers slowly, or not at all. Guards against answers that are buffered without a
+//! bound, and against other callers that are not served. The daemon is a separate process, so that its memory can
+//! be measured.
 
 mod support;
 
@@ -23,12 +23,12 @@
 
 use crate::support::PATIENCE;
 
-/// Largest answer of the tests, in bytes: some sixty times what is held of one.
-const LARGEST: usize = 2 << 20;
-/// Memory that the daemon may take on a machine of 120 MB, in kilobytes.
-const MOST_KB: u64 = 60 << 10;
+/// Size of the large answers, in bytes: about sixty times what the daemon buffers of one.
+const LARGE_ANSWER_BYTES: usize = 2 << 20;
+/// Largest memory of the daemon on a machine of 120 MB, in kilobytes.
+const MAX_MEMORY_KB: u64 = 60 << 10;
 /// Callers that do not read.
-const SLOW: usize = 200;
+const SLOW_CALLERS: usize = 200;
 
 struct Daemon {
     child: Child,
@@ -71,22 +71,22 @@
         Daemon { child, callers, metrics }
     }
 
-    /// Largest memory that the process has had, in kilobytes.
+    /// Peak resident memory of the process, in kilobytes.
     fn peak_kb(&self) -> u64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|it| it.starts_with("VmHWM")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Requests of a route that have ended with an outcome; with any where that is empty.
+    /// Number of requests of a route that have ended with an outcome, or with any if `outcome` is empty.
     async fn ended(&self, route: &str, outcome: &str) -> usize {
         let request = CallerRequest::new("metrics", "/metrics");
         let text = call(self.metrics.parse().unwrap(), request).await.unwrap().body;
         let text = String::from_utf8(text.to_vec()).unwrap();
         let (route, outcome) = (format!("route=\"{route}\""), format!("outcome=\"{outcome}"));
-        let its = text.lines().filter(|it| it.starts_with("holdpoint_requests"));
-        let its = its.filter(|it| it.contains(&route) && it.contains(&outcome));
-        its.map(|it| it.rsplit(' ').next().unwrap().parse::<usize>().unwrap()).sum()
+        let lines = text.lines().filter(|it| it.starts_with("holdpoint_requests"));
+        let lines = lines.filter(|it| it.contains(&route) && it.contains(&outcome));
+        lines.map(|it| it.rsplit(' ').next().unwrap().parse::<usize>().unwrap()).sum()
     }
 
     async fn until_ended(&self, route: &str, count: usize) {
@@ -95,7 +95,7 @@
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, ended).await.expect("they end in time");
+        tokio::time::timeout(PATIENCE, ended).await.expect("the requests ended within the timeout");
     }
 
     async fn until_serving(&self) {
@@ -111,12 +111,14 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, serving).await.expect("the daemon serves");
+        tokio::time::timeout(PATIENCE, serving)
+            .await
+            .expect("the daemon serves requests within the timeout");
     }
 }
 
-/// A caller with a narrow window that has sent its request and reads nothing yet.
-async fn ask(daemon: &Daemon, id: &str, path: &str) -> TcpStream {
+/// Sends a request over a connection with a small receive window, and reads nothing yet.
+async fn send_request(daemon: &Daemon, id: &str, path: &str) -> TcpStream {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     let mut stream = socket.connect(daemon.callers.parse().unwrap()).await.unwrap();
@@ -128,7 +130,7 @@
     stream
 }
 
-/// A system whose answers on `/safe/` are large, and whose routes have 20 s.
+/// A system whose answers on `/safe/` are large, and whose routes have a deadline of 20 s.
 async fn system(name: &str) -> (Store, Vec<Target>, Daemon) {
     let store = Store::start().await;
     let mut configuration = sample_configuration(1);
@@ -138,52 +140,53 @@
     store.put_target(&targets[0], false);
     let daemon = Daemon::start(name, &store);
     daemon.until_serving().await;
-    targets[0].set_behaviour(Behaviour::Large(LARGEST));
+    targets[0].set_behaviour(Behaviour::Large(LARGE_ANSWER_BYTES));
     (store, targets, daemon)
 }
 
-/// Answers were collected whole before they were passed on, without a bound: 200 of them at once took 400 MB,
-/// on machines of 120.
+/// Guards against answers that are collected whole before they are passed on, and exceed the memory bound.
 #[tokio::test]
 async fn callers_that_read_nothing_do_not_fill_the_memory_and_lose_their_answers() {
     let (_store, targets, daemon) = system("unread").await;
     let mut slow = Vec::new();
-    for index in 0..SLOW {
-        slow.push(ask(&daemon, &format!("slow-{index}"), "/safe/").await);
+    for index in 0..SLOW_CALLERS {
+        slow.push(send_request(&daemon, &format!("slow-{index}"), "/safe/").await);
     }
-    // Counted by the metrics: the log loses lines rather than wait, as it did here on a busy machine.
-    daemon.until_ended("safe", SLOW).await;
+    // Counted by the metrics, since the log drops lines on a busy machine.
+    daemon.until_ended("safe", SLOW_CALLERS).await;
     let lost = daemon.ended("safe", "unread").await + daemon.ended("safe", "caller-gone").await;
-    // On a busy machine some find no connection to the target in time, and are refused.
-    assert!(SLOW / 2 < lost, "{lost} of {SLOW}");
-    assert!(daemon.peak_kb() < MOST_KB, "{} kB", daemon.peak_kb());
+    // On a busy machine some requests get no connection to the target in time, and are refused.
+    assert!(SLOW_CALLERS / 2 < lost, "{lost} of {SLOW_CALLERS}");
+    assert!(daemon.peak_kb() < MAX_MEMORY_KB, "{} kB", daemon.peak_kb());
     targets[0].set_behaviour(Behaviour::Answer);
     let request = CallerRequest::new("after", "/safe/");
     let answer = call(daemon.callers.parse().unwrap(), request).await.unwrap();
-    assert_eq!(answer.status, StatusCode::OK, "others are served");
+    assert_eq!(answer.status, StatusCode::OK, "other callers are not served");
 }
 
-/// A caller that reads on, however slowly, gets its answer whole; one that stops midway, or closes half, loses
-/// only its own.
+/// A caller that keeps reading gets its whole answer, however slowly it reads. Callers that stop midway or
+/// half-close their connection lose only their own answers.
 #[tokio::test]
 async fn a_caller_that_reads_slowly_gets_all_of_its_answer() {
     let (_store, _targets, daemon) = system("slowly").await;
-    let mut slow = ask(&daemon, "slowly", "/safe/").await;
-    let mut stops = ask(&daemon, "stops", "/safe/").await;
+    let mut slow = send_request(&daemon, "slowly", "/safe/").await;
+    let mut stops = send_request(&daemon, "stops", "/safe/").await;
     let mut part = vec![0; 32 << 10];
     stops.read_exact(&mut part).await.unwrap();
-    let mut half = ask(&daemon, "half", "/safe/").await;
+    let mut half = send_request(&daemon, "half", "/safe/").await;
     half.shutdown().await.unwrap();
     let mut read = 0;
     let whole = async {
-        while read < LARGEST {
+        while read < LARGE_ANSWER_BYTES {
             let count = slow.read(&mut part).await.unwrap();
-            assert_ne!(count, 0, "it ended after {read}");
+            assert_ne!(count, 0, "the answer ended after {read} bytes");
             read += count;
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, whole).await.expect("it is read in time");
+    tokio::time::timeout(PATIENCE, whole)
+        .await
+        .expect("the whole answer is read within the timeout");
     daemon.until_ended("safe", 3).await;
     assert_eq!(daemon.ended("safe", "answered").await, 1);
 }
