--- a/crates/holdpoint/src/api.rs
+++ b/crates/holdpoint/src/api.rs
@@ -1,4 +1,4 @@
-//! Commands that call an instance's operator API.
+//! Commands that call the operator API of an instance.
 
 use std::path::{Path, PathBuf};
 
@@ -22,24 +22,24 @@
     experiments,
     failure::Failure,
     losses,
-    output::{Form, print},
+    output::{Format, print},
 };
 
 /// Runs a command that calls an instance.
 pub(crate) async fn run(name: &str, own: &ArgMatches, all: &ArgMatches) -> Result<(), Failure> {
     let client = client(own);
-    let form = form(all);
+    let format = output_format(all);
     match name {
-        "get" => get(&client, own, form).await,
+        "get" => get(&client, own, format).await,
         "apply" => apply(&client, own).await,
         "delete" => delete(&client, own).await,
         "watch" => watch(&client, own).await,
-        "status" => status(&client, form).await,
-        "change" => change(&client, own, form).await,
+        "status" => status(&client, format).await,
+        "change" => change(&client, own, format).await,
         "report" => match own.subcommand() {
-            Some(("arms", it)) => experiments::arms(it, form).await,
-            Some(("losses", it)) => losses::run(it, form),
-            _ => report(&client, own, form).await,
+            Some(("arms", it)) => experiments::arms(it, format).await,
+            Some(("losses", it)) => losses::run(it, format),
+            _ => report(&client, own, format).await,
         },
         _ => Ok(()),
     }
@@ -65,7 +65,7 @@
         }
         other => other.to_string(),
     };
-    Failure::File(format!("{}:\n  {text}", path.display()))
+    Failure::Input(format!("{}:\n  {text}", path.display()))
 }
 
 fn client(matches: &ArgMatches) -> OperatorClient {
@@ -77,10 +77,10 @@
     OperatorClient::new(Http::new(), &text("instance"), &token)
 }
 
-pub(crate) fn form(matches: &ArgMatches) -> Form {
+pub(crate) fn output_format(matches: &ArgMatches) -> Format {
     match matches.get_one::<String>("output").map(String::as_str) {
-        Some("json") => Form::Json,
-        _ => Form::Table,
+        Some("json") => Format::Json,
+        _ => Format::Table,
     }
 }
 
@@ -88,7 +88,7 @@
     matches.get_one::<String>(name).map_or("", String::as_str)
 }
 
-async fn get(client: &OperatorClient, matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+async fn get(client: &OperatorClient, matches: &ArgMatches, format: Format) -> Result<(), Failure> {
     let kind = argument(matches, "kind");
     let name = argument(matches, "name");
     if name.is_empty() {
@@ -97,7 +97,7 @@
         let rows = items
             .iter()
             .map(|it| vec![text(&it["name"]), it["version"].to_string(), it["spec"].to_string()]);
-        print(form, &list, &["NAME", "VERSION", "SPEC"], rows.collect());
+        print(format, &list, &["NAME", "VERSION", "SPEC"], rows.collect());
         return Ok(());
     }
     let resource = client.get(&format!("/apis/v1/{kind}/{name}")).await?;
@@ -105,14 +105,14 @@
     Ok(())
 }
 
-/// Reads a file of resources and names every fault in it.
+/// Reads and validates a resource file; the error lists every fault found.
 pub(crate) fn read_resources(path: &Path) -> Result<ResourceFile, Failure> {
     let value = read_jsonc(path).map_err(|it| file_failure(path, it.current_context()))?;
     let found = faults(Part::ResourceFile, &value);
     if !found.is_empty() {
         return Err(file_failure(path, &settings::FileError::Faults(found)));
     }
-    serde_json::from_value(value).map_err(|it| Failure::File(it.to_string()))
+    serde_json::from_value(value).map_err(|it| Failure::Input(it.to_string()))
 }
 
 async fn apply(client: &OperatorClient, matches: &ArgMatches) -> Result<(), Failure> {
@@ -123,7 +123,7 @@
         let spec = Value::Object(resource.spec);
         let form = ChangeForm { base: resource.version, change: None };
         let status = client.put(&kind, &name, &spec, &form).await?;
-        said(&format!("{kind}/{name}"), &status)?;
+        print_change(&format!("{kind}/{name}"), &status)?;
     }
     Ok(())
 }
@@ -132,11 +132,11 @@
     let (kind, name) = (argument(matches, "kind"), argument(matches, "name"));
     let form = ChangeForm { base: matches.get_one("version").copied(), change: None };
     let status = client.delete(kind, name, &form).await?;
-    said(&format!("{kind}/{name}"), &status)
+    print_change(&format!("{kind}/{name}"), &status)
 }
 
-/// Prints how far a change has come; all but "accepted" is a failure of the command.
-fn said(what: &str, status: &ChangeStatus) -> Result<(), Failure> {
+/// Prints the state of a change; returns an error for every state but `Accepted`.
+fn print_change(what: &str, status: &ChangeStatus) -> Result<(), Failure> {
     let version = status.version.unwrap_or(0);
     println!("{what}: {} (version {version}, change {})", status.state, status.change);
     match status.state {
@@ -145,12 +145,16 @@
         ChangeState::Pending => {
             let missing = status.missing.join(", ");
             let change = &status.change;
-            Err(Failure::NotInForce(format!("{what}: change {change} waits for {missing}")))
+            Err(Failure::NotApplied(format!(
+                "{what}: change {change} is not yet applied on {missing}"
+            )))
         }
         ChangeState::Unknown => {
             let change = &status.change;
-            let text = format!("{what}: change {change} may still land; ask `holdpoint change`");
-            Err(Failure::NotInForce(text))
+            let text = format!(
+                "{what}: change {change} may still be applied; check with `holdpoint change`"
+            );
+            Err(Failure::NotApplied(text))
         }
     }
 }
@@ -167,7 +171,7 @@
     Ok(())
 }
 
-async fn status(client: &OperatorClient, form: Form) -> Result<(), Failure> {
+async fn status(client: &OperatorClient, format: Format) -> Result<(), Failure> {
     let status = client.get("/apis/v1/instances").await?;
     let instances = status["instances"].as_array().cloned().unwrap_or_default();
     let row = |it: &Value| {
@@ -175,11 +179,15 @@
         names.iter().map(|name| text(&it[*name])).collect()
     };
     let rows = instances.iter().map(row).collect();
-    print(form, &status, &["INSTANCE", "PHASE", "OFFSET", "DOMAIN", "INCARNATION"], rows);
+    print(format, &status, &["INSTANCE", "PHASE", "OFFSET", "DOMAIN", "INCARNATION"], rows);
     Ok(())
 }
 
-async fn change(client: &OperatorClient, matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+async fn change(
+    client: &OperatorClient,
+    matches: &ArgMatches,
+    format: Format,
+) -> Result<(), Failure> {
     let status = client.get(&format!("/apis/v1/changes/{}", argument(matches, "id"))).await?;
     let missing = status["missing"].as_array().cloned().unwrap_or_default();
     let missing: Vec<String> = missing.iter().map(text).collect();
@@ -189,33 +197,37 @@
         text(&status["version"]),
         missing.join(", "),
     ];
-    print(form, &status, &["CHANGE", "STATE", "VERSION", "MISSING"], vec![row]);
+    print(format, &status, &["CHANGE", "STATE", "VERSION", "MISSING"], vec![row]);
     Ok(())
 }
 
-async fn report(client: &OperatorClient, matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+async fn report(
+    client: &OperatorClient,
+    matches: &ArgMatches,
+    format: Format,
+) -> Result<(), Failure> {
     match matches.subcommand() {
         Some(("burn", it)) => {
             let report = client.get("/report/burn").await?;
-            print(form, &report, &BURN_HEADER, burn_rows(&report));
+            print(format, &report, &BURN_HEADER, burn_rows(&report));
             let texts = Texts { title: "Error budget burn over the last hour", x: "", y: "rate" };
-            plotted(it, texts, &burn_bars(&report))
+            draw_bars(it, texts, &burn_bars(&report))
         }
         Some(("trial", it)) => {
             let report = client.get(&format!("/report/trials/{}", argument(it, "name"))).await?;
-            print(form, &report, &TRIAL_HEADER, trial_rows(&report));
-            if form == Form::Table {
+            print(format, &report, &TRIAL_HEADER, trial_rows(&report));
+            if format == Format::Table {
                 println!("verdict: {}", report["verdict"]);
             }
             let title = format!("Attainment of the arms of {}", argument(it, "name"));
-            plotted(it, Texts { title: &title, x: "", y: "attainment" }, &trial_bars(&report))
+            draw_bars(it, Texts { title: &title, x: "", y: "attainment" }, &trial_bars(&report))
         }
         _ => Err(Failure::Api(ApiError::Refused(404, Value::Null))),
     }
 }
 
-/// Draws bars where a plot was asked for.
-fn plotted(
+/// Draws a bar chart if `--plot` was given.
+fn draw_bars(
     matches: &ArgMatches,
     texts: Texts<'_>,
     values: &[(String, f64)],
@@ -226,7 +238,7 @@
     }
 }
 
-/// Burn rate of each pipeline over the second window, the hour.
+/// Burn rate of each pipeline over the second window, which is one hour.
 fn burn_bars(report: &Value) -> Vec<(String, f64)> {
     let pipelines = report["pipelines"].as_array().into_iter().flatten();
     let rate = |it: &Value| it["windows"][1]["rate"].as_f64().unwrap_or(0.0);
--- a/crates/holdpoint/src/bench.rs
+++ b/crates/holdpoint/src/bench.rs
@@ -1,4 +1,4 @@
-//! Measurements.
+//! The `bench` command: runs benchmarks and prints their results as tables.
 
 use clap::ArgMatches;
 use futures::{StreamExt, stream};
@@ -13,10 +13,10 @@
 
 use crate::{failure::Failure, output::table};
 
-/// Cells of the fault matrix that run at once, each on a system of its own.
-const CELLS_AT_ONCE: usize = 4;
+/// Maximum number of fault matrix cells that run concurrently, each on its own system.
+const MAX_CONCURRENT_CELLS: usize = 4;
 
-/// Runs a measurement.
+/// Runs the selected benchmark.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<(), Failure> {
     match matches.subcommand() {
         Some(("overhead", it)) => overhead(it).await,
@@ -28,6 +28,7 @@
     }
 }
 
+/// Returns a numeric argument, or 1 if it is absent.
 pub(crate) fn number(matches: &ArgMatches, name: &str) -> usize {
     matches.get_one::<u64>(name).map_or(1, |it| *it as usize)
 }
@@ -81,10 +82,10 @@
     let is_wanted = |it: &Vec<Fault>| only.is_none_or(|only| cell_name(it).contains(only.as_str()));
     let cells: Vec<Cell> = stream::iter(faults::cells().into_iter().filter(is_wanted))
         .map(|it| async move { faults::run(&it, requests, seed).await })
-        .buffered(CELLS_AT_ONCE)
+        .buffered(MAX_CONCURRENT_CELLS)
         .collect()
         .await;
-    let broken: u64 = cells.iter().map(|it| it.verdicts.broken()).sum();
+    let violations: u64 = cells.iter().map(|it| it.verdicts.broken()).sum();
     let stuck = cells.iter().filter(|it| it.recovery_ms.is_none()).count();
     let rows: Vec<_> = cells.iter().map(|it| cell_row(&cell_name(&it.faults), it)).collect();
     let header = [
@@ -105,11 +106,11 @@
     println!("{} cells, seed {seed}", rows.len());
     println!("{}", table(&header, rows));
     if 0 < stuck {
-        return Err(Failure::NotMet(format!("{stuck} cells did not recover")));
+        return Err(Failure::Unmet(format!("{stuck} cells did not recover")));
     }
-    match broken {
+    match violations {
         0 => Ok(()),
-        n => Err(Failure::Broken(n)),
+        n => Err(Failure::Violated(n)),
     }
 }
 
@@ -204,10 +205,10 @@
     ]
 }
 
-/// Net bytes allocated by this process so far.
+/// Bytes currently allocated by this process.
 fn allocated() -> usize {
     let stats = crate::ALLOCATOR.stats();
-    // The crate counts growth by reallocation in the first of these, and shrinking in the second.
+    // Both counters include reallocations: growth in the first, shrinkage in the second.
     let grown = stats.bytes_allocated as isize - stats.bytes_deallocated as isize;
     usize::try_from(grown).unwrap_or(0)
 }
--- a/crates/holdpoint/src/cli.rs
+++ b/crates/holdpoint/src/cli.rs
@@ -1,4 +1,4 @@
-//! The commands and their arguments.
+//! Definitions of the subcommands and their arguments.
 
 use std::path::PathBuf;
 
@@ -6,11 +6,11 @@
 use clap_complete::{Shell, generate};
 use log::LevelFilter;
 
-/// The whole command line.
+/// Builds the complete command-line definition.
 pub(crate) fn command() -> Command {
     Command::new("holdpoint")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Operates holdpoint: resources, reports, checks, demonstration and benches")
+        .about("Operates holdpoint: resources, reports, checks, demonstration and benchmarks")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .arg(
@@ -19,7 +19,7 @@
                 .global(true)
                 .value_name("ADDRESS")
                 .default_value("127.0.0.1:8101")
-                .help("Operators' address of any instance"),
+                .help("Address of the operator API of any instance"),
         )
         .arg(
             Arg::new("token")
@@ -27,7 +27,7 @@
                 .global(true)
                 .value_name("TOKEN")
                 .default_value("")
-                .help("Operator's bearer token; HOLDPOINT_TOKEN where empty"),
+                .help("Operator's bearer token; taken from HOLDPOINT_TOKEN if empty"),
         )
         .arg(
             Arg::new("output")
@@ -36,7 +36,7 @@
                 .global(true)
                 .value_parser(["table", "json"])
                 .default_value("table")
-                .help("Form of the output"),
+                .help("Output format"),
         )
         .arg(
             Arg::new("log-level")
@@ -44,7 +44,7 @@
                 .global(true)
                 .value_parser(value_parser!(LevelFilter))
                 .default_value("off")
-                .help("Log of instances in this process: off, error, warn, info, debug"),
+                .help("Log level of instances that run in this process: off, error, warn, info, debug"),
         )
         .subcommands([get(), apply(), delete(), watch(), status(), change(), report()])
         .subcommands([
@@ -71,7 +71,7 @@
 
 fn declare() -> Command {
     Command::new("declare")
-        .about("Declare policies and trials for the platform's ingress, in the platform's store")
+        .about("Write policies and trials for the platform's ingress to the platform's store")
         .arg(store())
         .arg(
             Arg::new("file")
@@ -79,14 +79,14 @@
                 .long("file")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Resources of the kinds policies and trials"),
+                .help("File with resources of the kinds policies and trials"),
         )
         .arg(
             Arg::new("drop")
                 .long("drop")
                 .value_name("KIND/NAME")
                 .conflicts_with("file")
-                .help("Drop this resource instead; quarantine/FINGERPRINT releases a request"),
+                .help("Resource to delete; quarantine/FINGERPRINT releases a quarantined request"),
         )
 }
 
@@ -97,36 +97,44 @@
             "List failure domains on the platform with their targets, or evacuate or restore one",
         )
         .arg(store())
-        .subcommand(Command::new("evacuate").about("Give its targets no new work").arg(name()))
-        .subcommand(Command::new("restore").about("Give its targets work again").arg(name()))
+        .subcommand(
+            Command::new("evacuate").about("Stop sending new requests to its targets").arg(name()),
+        )
+        .subcommand(
+            Command::new("restore").about("Resume sending requests to its targets").arg(name()),
+        )
 }
 
 fn regions() -> Command {
     Command::new("regions")
-        .about("List regions on the platform with their instances, targets and what is sent there")
+        .about("List regions on the platform with their instances, targets and spilled requests")
         .arg(store())
         .arg(
             Arg::new("settings")
                 .long("settings")
                 .required(true)
                 .value_name("FILE")
-                .help("Settings of an instance, as JSON, which name the regions"),
+                .help("JSON settings file of an instance that maps failure domains to regions"),
         )
         .arg(
             Arg::new("metrics")
                 .long("metrics")
                 .num_args(1..)
                 .value_name("ADDRESS")
-                .help("Metrics' addresses of the instances, for what was sent between regions"),
+                .help("Metrics addresses of the instances, to count requests sent between regions"),
         )
 }
 
 fn rollouts() -> Command {
     let service = || Arg::new("service").required(true).value_name("SERVICE").help("Service");
-    let wait =
-        || Arg::new("wait").long("wait").action(ArgAction::SetTrue).help("Wait until it has ended");
+    let wait = || {
+        Arg::new("wait")
+            .long("wait")
+            .action(ArgAction::SetTrue)
+            .help("Wait until the roll-out has ended")
+    };
     let start = Command::new("start")
-        .about("Move a service's traffic to targets of a version, unless it is worse")
+        .about("Shift a service's traffic to a version; roll back if it performs worse")
         .arg(service())
         .arg(Arg::new("version").required(true).value_name("VERSION").help("Version"))
         .arg(
@@ -134,11 +142,11 @@
                 .long("within")
                 .value_name("TIME")
                 .default_value("60s")
-                .help("Time for it, as 30s or 5m"),
+                .help("Duration of the roll-out, such as 30s or 5m"),
         )
         .arg(wait());
     let abort = Command::new("abort")
-        .about("Withdraw the order for a service; its version gets nothing more")
+        .about("Withdraw the order for a service; its version gets no further requests")
         .arg(service())
         .arg(wait());
     Command::new("rollouts")
@@ -150,53 +158,53 @@
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tells the story of one request from the logs of all instances")
+        .about("Show the log events of one request across all instances, with explanations")
         .arg(Arg::new("id").required(true).value_name("ID").help("Id of the request"))
         .arg(
             Arg::new("files")
                 .value_name("FILE")
                 .num_args(0..)
                 .value_parser(value_parser!(PathBuf))
-                .help("Logs; standard input where none is named"),
+                .help("Log files; standard input if none is given"),
         )
 }
 
 fn soak() -> Command {
     Command::new("soak")
-        .about("Strike real processes with random faults and check what callers and targets see")
+        .about("Inject random faults into real processes and check what callers and targets see")
         .arg(number("seed", "1", "First seed"))
-        .arg(number("count", "1", "Seeds, one after the other"))
-        .arg(number("seconds", "6", "How long faults are made for each seed"))
+        .arg(number("count", "1", "Number of consecutive seeds to run"))
+        .arg(number("seconds", "6", "Seconds of fault injection for each seed"))
         .arg(
             Arg::new("daemon")
                 .long("daemon")
                 .value_name("PROGRAM")
                 .value_parser(value_parser!(PathBuf))
-                .help("The daemon; holdpointd beside this program where absent"),
+                .help("Path of the daemon; by default holdpointd in the folder of this program"),
         )
         .arg(
             Arg::new("former")
                 .long("former")
                 .value_name("PROGRAM")
                 .value_parser(value_parser!(PathBuf))
-                .help("A former build of it, which half of the processes run; targets name no limits then"),
+                .help("Earlier build for half of the processes; targets then report no limits"),
         )
         .arg(
             Arg::new("logs")
                 .long("logs")
                 .value_name("FOLDER")
                 .value_parser(value_parser!(PathBuf))
-                .help("Keeps there what each process writes"),
+                .help("Folder in which to keep the output of each process"),
         )
         .arg(
             Arg::new("no-notices")
                 .long("no-notices")
                 .action(clap::ArgAction::SetTrue)
-                .help("Has no target say that it leaves, or ask for a back-off, as in earlier soaks"),
+                .help("Targets send no drain notices and no backoff requests"),
         )
 }
 
-/// Writes the completion of a shell to standard output.
+/// Writes the completion script for a shell to standard output.
 pub(crate) fn completion(matches: &ArgMatches) {
     let shell: Shell = *matches.get_one("shell").expect("the argument is required");
     generate(shell, &mut command(), "holdpoint", &mut std::io::stdout());
@@ -227,15 +235,18 @@
         .long("plot")
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
-        .help("Also write a plot, as SVG")
+        .help("Also write an SVG plot to this file")
 }
 
 fn get() -> Command {
-    Command::new("get").about("Show resources of a kind, or one").arg(kind()).arg(Arg::new("name"))
+    Command::new("get")
+        .about("Show all resources of a kind, or one of them")
+        .arg(kind())
+        .arg(Arg::new("name"))
 }
 
 fn apply() -> Command {
-    Command::new("apply").about("Apply the resources of a file, in its order").arg(
+    Command::new("apply").about("Apply the resources of a file in the order listed").arg(
         Arg::new("file")
             .short('f')
             .long("file")
@@ -254,15 +265,15 @@
             Arg::new("version")
                 .long("version")
                 .value_parser(value_parser!(u64))
-                .help("Delete only this version"),
+                .help("Delete only if the resource has this version"),
         )
 }
 
 fn watch() -> Command {
     Command::new("watch")
-        .about("Follow the changes of a kind, one JSON event a line")
+        .about("Follow the changes of a kind, one JSON event per line")
         .arg(kind())
-        .arg(number("from", "0", "Version to go on from; 0 begins with all that exists"))
+        .arg(number("from", "0", "Version to resume after; 0 starts with all existing resources"))
 }
 
 fn status() -> Command {
@@ -270,16 +281,14 @@
 }
 
 fn change() -> Command {
-    Command::new("change")
-        .about("Show how far a change has come")
-        .arg(Arg::new("id").required(true))
+    Command::new("change").about("Show the progress of a change").arg(Arg::new("id").required(true))
 }
 
 fn report() -> Command {
     Command::new("report")
         .about("Reports over all instances")
         .subcommand_required(true)
-        .subcommand(Command::new("burn").about("Service-level burn by pipeline").arg(plot()))
+        .subcommand(Command::new("burn").about("Error budget burn by pipeline").arg(plot()))
         .subcommand(
             Command::new("arms")
                 .about("Attainment and cost of a trial's arms on the platform's ingress")
@@ -291,21 +300,21 @@
                         .required(true)
                         .num_args(1..)
                         .value_name("ADDRESS")
-                        .help("Metrics' addresses of the instances"),
+                        .help("Metrics addresses of the instances"),
                 ),
         )
         .subcommand(
             Command::new("losses")
-                .about("Where answers in time were lost, from the logs of a day")
+                .about("Requests not answered in time, by reason, from logs")
                 .arg(
                     Arg::new("files")
                         .required(true)
                         .value_name("LOG")
                         .num_args(1..)
                         .value_parser(value_parser!(PathBuf))
-                        .help("Logs of all instances, with seconds at the start of each line"),
+                        .help("Logs of all instances; each line starts with a time in seconds"),
                 )
-                .arg(number("span", "4", "Seconds that are summed up together"))
+                .arg(number("span", "4", "Length of an aggregation interval in seconds"))
                 .arg(plot()),
         )
         .subcommand(
@@ -317,71 +326,77 @@
 }
 
 fn check_settings() -> Command {
-    Command::new("check-settings").about("Check a settings file and name every mistake").arg(
+    Command::new("check-settings").about("Check a settings file and list every error").arg(
         Arg::new("file").required(true).value_name("FILE").value_parser(value_parser!(PathBuf)),
     )
 }
 
 fn demo() -> Command {
     Command::new("demo")
-        .about("Run stand-ins and instances in this process, with the pipelines of both users")
-        .arg(number("instances", "3", "Instances"))
-        .arg(number("requests", "1500", "Requests of the check"))
-        .arg(number("seed", "1", "Seed of the check"))
+        .about("Run simulated back ends and instances in this process, with the pipelines of both users")
+        .arg(number("instances", "3", "Number of instances"))
+        .arg(number("requests", "1500", "Number of requests to send with --check"))
+        .arg(number("seed", "1", "Random seed"))
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Send a bounded load, compare answers with what ran, and exit"),
+                .help("Send a fixed number of requests, verify the answers, and exit"),
         )
 }
 
 fn bench() -> Command {
     Command::new("bench")
-        .about("Measure")
+        .about("Run a benchmark")
         .subcommand_required(true)
         .subcommand(
             Command::new("overhead")
-                .about("Calls through holdpoint against the same calls straight to the target")
-                .arg(number("requests", "2000", "Requests a measurement")),
+                .about("Compare calls through holdpoint with the same calls directly to the target")
+                .arg(number("requests", "2000", "Requests per measurement")),
         )
         .subcommand(
             Command::new("capacity")
-                .about("Slopes of state, time and bytes, for docs/CAPACITY.md")
-                .arg(number("seconds", "5", "Seconds that idle instances are counted for"))
+                .about("Measure growth of state, time and bytes with load, for docs/CAPACITY.md")
+                .arg(number("seconds", "5", "Seconds to observe idle instances"))
                 .arg(
                     Arg::new("running")
                         .long("running")
                         .action(ArgAction::SetTrue)
-                        .help("Running instances only, without the slopes of pure code"),
+                        .help("Measure running instances only; skip the in-memory measurements"),
                 ),
         )
         .subcommand(
             Command::new("policies")
-                .about("Routes and admission against baselines and a bound, in manual time")
-                .arg(number("seeds", "5", "Seeds, from 1"))
-                .arg(number("seconds", "20", "Seconds of arrivals"))
-                .arg(number("instances", "6", "Entry instances"))
+                .about(
+                    "Compare routing and admission with baselines and a bound, in simulated time",
+                )
+                .arg(number("seeds", "5", "Number of seeds, starting at 1"))
+                .arg(number("seconds", "20", "Seconds during which requests arrive"))
+                .arg(number("instances", "6", "Number of entry instances"))
                 .arg(plot()),
         )
         .subcommand(
             Command::new("control")
-                .about("Changes, leaving targets and claims on running instances")
-                .arg(number("instances", "8", "Instances for changes"))
-                .arg(number("changes", "100", "Changes"))
-                .arg(number("seconds", "4", "Seconds for each rate of claims")),
+                .about("Measure changes, draining targets and claims on running instances")
+                .arg(number("instances", "8", "Number of instances for the changes"))
+                .arg(number("changes", "100", "Number of changes"))
+                .arg(number("seconds", "4", "Seconds per rate of claims")),
         )
         .subcommand(
             Command::new("faults")
-                .about("The fault matrix: each fault alone and in pairs, under load")
-                .arg(number("requests", "250", "Requests a cell"))
-                .arg(number("seed", "1", "Seed of load and faults"))
-                .arg(Arg::new("only").long("only").help("Only cells with this fault")),
+                .about("Run the fault matrix: each fault alone and in pairs, under load")
+                .arg(number("requests", "250", "Requests per cell"))
+                .arg(number("seed", "1", "Random seed of load and faults"))
+                .arg(
+                    Arg::new("only")
+                        .long("only")
+                        .help("Run only cells whose name contains this text"),
+                ),
         )
 }
 
 fn completion_command() -> Command {
     Command::new("completion")
-        .about("Write a shell's completion to standard output")
+        .about("Write a shell completion script to standard output")
         .arg(Arg::new("shell").required(true).value_parser(value_parser!(Shell)))
 }
--- a/crates/holdpoint/src/demo.rs
+++ b/crates/holdpoint/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: a whole system in this process, and a check of its promises.
+//! The `demo` command: runs a complete system in this process and can check its guarantees under load.
 
 use std::time::{Duration, Instant};
 
@@ -13,10 +13,10 @@
 
 use crate::{failure::Failure, output::table};
 
-/// Callers at once in the check.
-const CALLERS: usize = 24;
+/// Number of concurrent callers in the check.
+const CONCURRENT_CALLERS: usize = 24;
 
-/// Runs the demonstration, or its check.
+/// Runs the demonstration until Ctrl-C, or only the check if `--check` is given.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<(), Failure> {
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or(1);
     let plan = Plan::new(number("instances").max(1) as usize).with_seed(number("seed"));
@@ -24,7 +24,7 @@
     if matches.get_flag("check") {
         return check(&world, number("requests") as usize, number("seed")).await;
     }
-    show(&world);
+    print_usage(&world);
     drop(tokio::signal::ctrl_c().await);
     for index in 0..world.len() {
         world.stop(index).await;
@@ -32,7 +32,7 @@
     Ok(())
 }
 
-fn show(world: &World) {
+fn print_usage(world: &World) {
     println!("log {}  list {}", world.log.address(), world.list.address());
     for index in 0..world.len() {
         println!(
@@ -42,59 +42,65 @@
             world.operators(index)
         );
     }
-    println!("\nAsk for a pairing, streamed:");
+    println!("\nSend a streamed pairing request:");
     println!(
         "  curl -N http://{}/v1/pipelines/pairing/requests -H 'authorization: Bearer \
          demo-regina-shops' -H 'accept: text/event-stream' -H 'content-type: application/json' \
          -d '{{\"input\": {{\"marker\": \"me\", \"text\": \"duck\"}}}}'",
         world.callers(0)
     );
-    println!("\nOperate it:");
+    println!("\nShow its status:");
     println!("  HOLDPOINT_TOKEN=demo-operator holdpoint --instance {} status", world.operators(0));
-    println!("\nCtrl-C ends it.");
+    println!("\nPress Ctrl-C to stop.");
 }
 
 async fn check(world: &World, requests: usize, seed: u64) -> Result<(), Failure> {
     let started = Instant::now();
-    let mix = Mix::new(requests, CALLERS).with_seed(seed);
-    let (tally, events) = tokio::join!(load::run(world, &mix), meanwhile(world));
+    let mix = Mix::new(requests, CONCURRENT_CALLERS).with_seed(seed);
+    let (tally, disruptions) = tokio::join!(load::run(world, &mix), disrupt(world));
     println!("{}", table(&HEADER, rows(&tally)));
     tally.details.iter().for_each(|it| println!("broken: {it}"));
-    println!("change of a policy in force on all instances after {} ms", events.change_ms);
-    println!("planned stop of instance 2: {:?} after {} ms", events.ended, events.stop_ms);
+    println!(
+        "change of a policy in force on all instances after {} ms",
+        disruptions.policy_change_ms
+    );
+    println!(
+        "planned stop of instance 2: {:?} after {} ms",
+        disruptions.ended, disruptions.stop_ms
+    );
     println!("{:.1} s in all", started.elapsed().as_secs_f64());
-    if events.ended != Some(Ended::Drained) {
-        return Err(Failure::NotMet("the planned stop cut work in flight".to_owned()));
+    if disruptions.ended != Some(Ended::Drained) {
+        return Err(Failure::Unmet("the planned stop interrupted requests in flight".to_owned()));
     }
     match tally.broken() {
         0 => Ok(()),
-        n => Err(Failure::Broken(n)),
+        n => Err(Failure::Violated(n)),
     }
 }
 
-/// What happened to the system while the load ran.
-struct Events {
-    change_ms: u128,
+/// Results of the operations performed while the load ran.
+struct Disruptions {
+    policy_change_ms: u128,
     ended: Option<Ended>,
     stop_ms: u128,
 }
 
-/// Changes a policy, stops one instance as planned and starts another.
-async fn meanwhile(world: &World) -> Events {
+/// Changes a policy, shuts one instance down gracefully and starts another.
+async fn disrupt(world: &World) -> Disruptions {
     tokio::time::sleep(Duration::from_millis(500)).await;
     let asked = Instant::now();
     let spec = json!({ "route": "predicted", "retry_percent": 20 });
     let change = world.put(0, "policies", "predicted", &spec, &ChangeForm::default()).await;
-    let change_ms = asked.elapsed().as_millis();
+    let policy_change_ms = asked.elapsed().as_millis();
     if let Err(it) = change {
-        println!("the change failed: {it:?}");
+        println!("the policy change failed: {it:?}");
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let asked = Instant::now();
     let ended = if 1 < world.len() { world.stop(1).await } else { Some(Ended::Drained) };
     let stop_ms = asked.elapsed().as_millis();
     world.start_instance("entry-replacement").await;
-    Events { change_ms, ended, stop_ms }
+    Disruptions { policy_change_ms, ended, stop_ms }
 }
 
 const HEADER: [&str; 12] = [
--- a/crates/holdpoint/src/domains.rs
+++ b/crates/holdpoint/src/domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains on the users' platform: listed with their targets, evacuated and restored.
+//! The `domains` command: lists failure domains of the platform, evacuates and restores them.
 
 use std::collections::BTreeMap;
 
@@ -11,55 +11,58 @@
 
 use crate::{
     failure::Failure,
-    output::{Form, print},
+    output::{Format, print},
     store::{append, newest},
 };
 
-/// Longest name of a failure domain, in bytes; the store's keys have 255.
-const LONGEST_NAME: usize = 200;
+/// Maximum length of a failure domain's name; the store limits keys to 255 bytes.
+const MAX_NAME_BYTES: usize = 200;
 
-/// A failure domain as the store knows it.
+/// State of a failure domain, from the store.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Domain {
-    /// Offset of the order by which it is evacuated.
+    /// Offset of the active evacuation order.
     evacuated_by: Option<u64>,
-    /// Targets that are not leaving.
+    /// Number of targets that are not draining.
     targets: usize,
-    /// Requests that they work on at once.
+    /// Total number of requests that these targets process concurrently.
     slots: u64,
 }
 
 /// Lists, evacuates or restores failure domains.
-pub(crate) async fn run(matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+pub(crate) async fn run(matches: &ArgMatches, format: Format) -> Result<(), Failure> {
     let store: &String = matches.get_one("store").expect("the argument is required");
-    let named = |it: &ArgMatches| {
+    let name_argument = |it: &ArgMatches| {
         let name: &String = it.get_one("name").expect("the argument is required");
-        checked(name).map(str::to_owned)
+        validate_name(name).map(str::to_owned)
     };
     match matches.subcommand() {
-        Some(("evacuate", it)) => order(store, &named(it)?, EVACUATE_VALUE, "evacuated").await,
-        Some(("restore", it)) => order(store, &named(it)?, &[], "restored").await,
-        _ => list(store, form).await,
+        Some(("evacuate", it)) => {
+            write_order(store, &name_argument(it)?, EVACUATE_VALUE, "evacuated").await
+        }
+        Some(("restore", it)) => write_order(store, &name_argument(it)?, &[], "restored").await,
+        _ => list(store, format).await,
     }
 }
 
-/// A failure domain's name, if it can be one.
-fn checked(name: &str) -> Result<&str, Failure> {
-    if name.is_empty() || LONGEST_NAME < name.len() || name.chars().any(char::is_control) {
-        let text =
-            format!("name: {name:?} has 1 to {LONGEST_NAME} bytes and no control characters");
-        return Err(Failure::File(text));
+/// Validates the name of a failure domain.
+fn validate_name(name: &str) -> Result<&str, Failure> {
+    if name.is_empty() || MAX_NAME_BYTES < name.len() || name.chars().any(char::is_control) {
+        let text = format!(
+            "name: {name:?} must have 1 to {MAX_NAME_BYTES} bytes and no control characters"
+        );
+        return Err(Failure::Input(text));
     }
     Ok(name)
 }
 
-async fn order(store: &str, domain: &str, value: &[u8], done: &str) -> Result<(), Failure> {
+async fn write_order(store: &str, domain: &str, value: &[u8], done: &str) -> Result<(), Failure> {
     append(store, OPERATORS_TOPIC, &evacuation_key(domain), value).await?;
     println!("{domain}: {done}");
     Ok(())
 }
 
-async fn list(store: &str, form: Form) -> Result<(), Failure> {
+async fn list(store: &str, format: Format) -> Result<(), Failure> {
     let mut domains: BTreeMap<String, Domain> = BTreeMap::new();
     for record in newest(store, OPERATORS_TOPIC).await? {
         if let Some(it) = evacuated_domain(&record.key) {
@@ -67,7 +70,7 @@
         }
     }
     for record in newest(store, TARGETS_TOPIC).await? {
-        // What the instances cannot read either is no target.
+        // Skips records that cannot be parsed; instances ignore them too.
         if let Ok(Some(target)) = instances::parse(&record) {
             let domain = domains.entry(target.domain).or_default();
             domain.targets += usize::from(!target.is_leaving);
@@ -83,6 +86,6 @@
         vec![name.clone(), state.to_owned(), order, targets, slots, format!("{part:.0}")]
     };
     let header = ["DOMAIN", "STATE", "ORDER", "TARGETS", "SLOTS", "% OF SLOTS"];
-    print(form, &domains, &header, domains.iter().map(row).collect());
+    print(format, &domains, &header, domains.iter().map(row).collect());
     Ok(())
 }
--- a/crates/holdpoint/src/experiments.rs
+++ b/crates/holdpoint/src/experiments.rs
@@ -1,5 +1,5 @@
-//! Policies and trials on the users' platform: declared in its store, judged from the metrics of all
-//! instances.
+//! Policies and trials on the platform's ingress: writes them to the platform's store and evaluates trials
+//! from the metrics of all instances.
 
 use std::{collections::BTreeMap, path::PathBuf};
 
@@ -17,40 +17,40 @@
 use crate::{
     api::read_resources,
     failure::Failure,
-    output::{Form, print},
+    output::{Format, print},
     store::{append, get, newest},
 };
 
-/// Counter of a trial's requests, as the metrics show it.
-const REQUESTS: &str = "holdpoint_trial_requests_total";
-/// Counter of what they cost.
-const COST: &str = "holdpoint_trial_cost_ms_total";
+/// Metric that counts the requests of a trial.
+const REQUESTS_METRIC: &str = "holdpoint_trial_requests_total";
+/// Metric that sums the cost of a trial's requests.
+const COST_METRIC: &str = "holdpoint_trial_cost_ms_total";
 
-/// Writes the policies and trials of a file to the store, or drops one resource: a policy, a trial, or a
-/// request that is held.
+/// Writes the policies and trials of a file to the store, or deletes one resource: a policy, a trial or a
+/// quarantined request.
 pub(crate) async fn declare(matches: &ArgMatches) -> Result<(), Failure> {
     let store: &String = matches.get_one("store").expect("the argument is required");
     if let Some(key) = matches.get_one::<String>("drop") {
-        // A held request is released by dropping it too.
+        // Quarantine keys need no validation; deleting one releases the request.
         if !key.starts_with(KEY_PREFIX) {
-            Experiments::default().set(key, None).map_err(|it| Failure::File(it.to_string()))?;
+            Experiments::default().set(key, None).map_err(|it| Failure::Input(it.to_string()))?;
         }
         append(store, RESOURCES_TOPIC, key, &[]).await?;
         println!("{key}: dropped");
         return Ok(());
     }
     let Some(path) = matches.get_one::<PathBuf>("file") else {
-        return Err(Failure::File("either --file or --drop is needed".to_owned()));
+        return Err(Failure::Input("either --file or --drop is required".to_owned()));
     };
     let ResourceFile { resources, .. } = read_resources(path)?;
     let records: Vec<(String, Vec<u8>)> = resources
         .into_iter()
         .map(|it| (format!("{}/{}", it.kind, it.name), json!(it.spec).to_string().into_bytes()))
         .collect();
-    // All are checked before the first is written.
+    // Validates all resources before writing any, so that an invalid file changes nothing.
     for (key, value) in &records {
         let checked = Experiments::default().set(key, Some(value));
-        checked.map_err(|it| Failure::File(format!("{key}: {it}")))?;
+        checked.map_err(|it| Failure::Input(format!("{key}: {it}")))?;
     }
     for (key, value) in &records {
         append(store, RESOURCES_TOPIC, key, value).await?;
@@ -59,8 +59,8 @@
     Ok(())
 }
 
-/// Prints what the arms of a trial attained and cost, summed over instances, and the verdict.
-pub(crate) async fn arms(matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+/// Prints attainment and cost of a trial's arms, summed over instances, and the verdict.
+pub(crate) async fn arms(matches: &ArgMatches, format: Format) -> Result<(), Failure> {
     let name: &String = matches.get_one("name").expect("the argument is required");
     let store: &String = matches.get_one("store").expect("the argument is required");
     let trial = read_trial(store, name).await?;
@@ -82,8 +82,8 @@
     };
     let rows = arms.iter().map(row).collect();
     let report = json!({ "trial": name, "arms": arms, "verdict": verdict });
-    print(form, &report, &["ARM", "REQUESTS", "ATTAINED", "MS A REQUEST"], rows);
-    if form == Form::Table {
+    print(format, &report, &["ARM", "REQUESTS", "ATTAINED", "MS A REQUEST"], rows);
+    if format == Format::Table {
         println!("verdict: {}", report["verdict"]);
     }
     Ok(())
@@ -94,10 +94,10 @@
     let records = newest(store, RESOURCES_TOPIC).await?;
     let found = records.into_iter().find(|it| it.key == wanted).and_then(|it| it.value);
     let found = found.ok_or(Failure::Api(ApiError::Refused(404, Value::Null)))?;
-    serde_json::from_slice(&found).map_err(|it| Failure::File(it.to_string()))
+    serde_json::from_slice(&found).map_err(|it| Failure::Input(it.to_string()))
 }
 
-/// Adds the counters of one instance's metrics to the arms of a trial.
+/// Adds the counters from one instance's metrics page to the arms of a trial.
 fn add_metrics(arms: &mut BTreeMap<String, ArmStats>, trial: &str, page: &str) {
     for counter in page.lines().filter_map(Counter::parse) {
         let Some(arm) = counter.label("arm").filter(|_| counter.label("trial") == Some(trial))
@@ -106,12 +106,12 @@
         };
         let Some(stats) = arms.get_mut(arm) else { continue };
         match counter.name {
-            REQUESTS => {
+            REQUESTS_METRIC => {
                 let is_attained = counter.label("attained") == Some("true");
                 stats.requests += counter.value;
                 stats.attained += if is_attained { counter.value } else { 0 };
             }
-            COST => {
+            COST_METRIC => {
                 let stage = counter.label("stage").unwrap_or_default().to_owned();
                 *stats.cost.entry(stage).or_default() += counter.value;
             }
@@ -120,7 +120,7 @@
     }
 }
 
-/// A counter in the Prometheus text form.
+/// One sample in the Prometheus text format.
 struct Counter<'a> {
     name: &'a str,
     labels: Vec<(&'a str, &'a str)>,
--- a/crates/holdpoint/src/explain.rs
+++ b/crates/holdpoint/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of one request, from the logs of all instances.
+//! The `explain` command: prints the log events of one request across all instances, with explanations.
 
 use std::{
     fs,
@@ -10,77 +10,74 @@
 
 use crate::failure::Failure;
 
-/// What a numbered event says about a request, in words.
+/// Explanations of log events, by event code.
 const MEANINGS: [(&str, &str); 9] = [
-    ("E640", "the regions that it is confined to have no target for it"),
+    ("E640", "no target in the regions that the request is confined to"),
     ("E700", "sent to a target"),
-    ("E701", "that send ended without a whole answer"),
-    ("E703", "results of a stage were missing"),
-    ("E704", "its stream broke off at its target"),
-    ("E705", "denied before it had a route"),
-    ("E706", "ended"),
+    ("E701", "the target gave no complete answer"),
+    ("E703", "results of a stage are missing"),
+    ("E704", "the target broke off the streamed answer"),
+    ("E705", "denied before a route was chosen"),
+    ("E706", "request ended"),
     (
         "E707",
-        "refused by the instance that batches its first stage, for want of time at the stage named",
-    ),
-    (
-        "E721",
-        "admitted as late, in the time that others leave, for want of time at the stage named",
+        "refused by the instance that batches its first stage: not enough time at the named stage",
     ),
+    ("E721", "admitted as late, on spare capacity: not enough time at the named stage"),
 ];
 
-/// What the cause of an end means.
+/// Explanations of the `cause` of a request's end.
 const CAUSES: [(&str, &str); 11] = [
     (
         "confined",
         "its route or organisation allows only regions that cannot serve it: refused as not run",
     ),
-    ("answered", "the target's whole answer was passed on"),
-    ("caller-gone", "its caller left first"),
-    ("overload", "it would have been late: refused as not run, with a time to come back"),
-    ("stages-late", "its stages could not be made in time; it has not run"),
+    ("answered", "the target's complete answer was forwarded"),
+    ("caller-gone", "the caller disconnected first"),
+    ("overload", "it would have been answered late: refused as not run, with Retry-After"),
+    ("stages-late", "its stages could not be completed in time; it has not run"),
     ("stages", "its stages failed"),
-    ("target-failed", "the target's own failure was passed on"),
+    ("target-failed", "the target's error response was forwarded"),
     ("no-target", "no target was left to try"),
     ("attempts-used", "the route allows no further target"),
-    ("retry-budget", "the shared retry budget was used up"),
-    ("time-over", "its time was over"),
+    ("retry-budget", "the shared retry budget was exhausted"),
+    ("time-over", "its deadline passed"),
 ];
 
-/// Runs the command: reads the files, or standard input where none is named.
+/// Runs the command on the given files, or on standard input if there are none.
 pub(crate) fn run(matches: &ArgMatches) -> Result<(), Failure> {
     let id: &String = matches.get_one("id").expect("the argument is required");
     let files: Vec<&PathBuf> = matches.get_many("files").into_iter().flatten().collect();
     let mut text = String::new();
     if files.is_empty() {
         let read = io::stdin().read_to_string(&mut text);
-        read.map_err(|it| Failure::File(format!("standard input: {it}")))?;
+        read.map_err(|it| Failure::Input(format!("standard input: {it}")))?;
     }
     text.push_str(&read_logs(files)?);
-    let story = story(&text, id);
-    if story.is_empty() {
-        return Err(Failure::File(format!("no line of the logs names the request {id}")));
+    let timeline = timeline(&text, id);
+    if timeline.is_empty() {
+        return Err(Failure::Input(format!("no log line for request {id}")));
     }
-    // A reader who closes the pipe early has read enough.
-    drop(io::stdout().write_all(story.as_bytes()));
+    // Ignores a broken pipe: the reader may close it early.
+    drop(io::stdout().write_all(timeline.as_bytes()));
     Ok(())
 }
 
-/// Reads logs one after the other; bytes that are no text are replaced.
+/// Reads and concatenates log files; invalid UTF-8 is replaced.
 pub(crate) fn read_logs<'a>(
     files: impl IntoIterator<Item = &'a PathBuf>,
 ) -> Result<String, Failure> {
     let mut text = String::new();
     for file in files {
         let read = fs::read(file);
-        let bytes = read.map_err(|it| Failure::File(format!("{}: {it}", file.display())))?;
+        let bytes = read.map_err(|it| Failure::Input(format!("{}: {it}", file.display())))?;
         text.push_str(&String::from_utf8_lossy(&bytes));
     }
     Ok(text)
 }
 
-/// The lines that name a request, each with its meaning, and the cause of its end in words.
-fn story(text: &str, id: &str) -> String {
+/// Lists the log lines of a request by time, each with its explanation and the cause of its end.
+fn timeline(text: &str, id: &str) -> String {
     let name = format!("id={id}");
     let lines = text.lines().filter(|it| it.split_whitespace().any(|it| it == name));
     let mut lines: Vec<&str> = lines.collect();
@@ -97,7 +94,7 @@
     out
 }
 
-/// Time at the start of a line, as a test bench puts it there; 0 where there is none.
+/// Time in seconds at the start of a line, or 0 if there is none.
 fn time(line: &str) -> f64 {
     line.split_whitespace().next().and_then(|it| it.parse().ok()).unwrap_or(0.0)
 }
@@ -105,5 +102,5 @@
 fn cause(line: &str) -> &'static str {
     let found = line.split_whitespace().find_map(|it| it.strip_prefix("cause="));
     let known = CAUSES.iter().find(|it| Some(it.0) == found);
-    known.map_or("the target broke off or was silent", |it| it.1)
+    known.map_or("the target broke off or did not answer", |it| it.1)
 }
--- a/crates/holdpoint/src/failure.rs
+++ b/crates/holdpoint/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and its exit code.
+//! Errors of commands and their exit codes.
 
 use std::{fmt, process::ExitCode};
 
@@ -7,41 +7,41 @@
 use holdpoint_soak::CannotStart;
 use serde_json::Value;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// No thread can be started.
+    /// The async runtime cannot be started.
     Runtime,
-    /// A file cannot be used.
-    File(String),
-    /// The instance gave no answer or refused.
+    /// A file or an argument is invalid.
+    Input(String),
+    /// The instance or the store did not answer, or refused the call.
     Api(ApiError),
-    /// A change lost to another.
+    /// A change conflicts with another.
     Conflict(String),
-    /// A change is not yet in force everywhere, or not known to be.
-    NotInForce(String),
-    /// A promise broke.
-    Broken(u64),
-    /// An experiment did not meet what it must show.
-    NotMet(String),
-    /// The daemon of a soak cannot be started.
+    /// A change is not yet applied everywhere, or its outcome is unknown.
+    NotApplied(String),
+    /// Guarantees were violated; holds the number of violations.
+    Violated(u64),
+    /// A benchmark, check or roll-out did not reach its expected result.
+    Unmet(String),
+    /// The daemon under soak test cannot be started.
     Soak(CannotStart),
     /// A plot cannot be drawn or written.
     Plot(PlotError),
 }
 
 impl Failure {
-    /// Exit code; the operators' page lists them.
+    /// Exit code of the process, as listed in the operators' documentation.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Failure::Runtime | Failure::Soak(_) | Failure::Plot(_) => 1,
-            Failure::File(_) => 2,
+            Failure::Input(_) => 2,
             Failure::Api(ApiError::Refused(..)) => 3,
             Failure::Api(ApiError::Call(_)) => 4,
             Failure::Conflict(_) => 5,
-            Failure::NotInForce(_) => 6,
-            Failure::Broken(_) => 7,
-            Failure::NotMet(_) => 8,
+            Failure::NotApplied(_) => 6,
+            Failure::Violated(_) => 7,
+            Failure::Unmet(_) => 8,
         })
     }
 }
@@ -55,25 +55,27 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Runtime => f.write_str("no thread can be started"),
-            Failure::File(it) => f.write_str(it),
-            Failure::Api(ApiError::Call(it)) => write!(f, "the instance gave no answer: {it:?}"),
+            Failure::Runtime => f.write_str("the async runtime cannot be started"),
+            Failure::Input(it) => f.write_str(it),
+            Failure::Api(ApiError::Call(it)) => {
+                write!(f, "no answer from the instance or the store: {it:?}")
+            }
             Failure::Api(ApiError::Refused(status, document)) => {
                 write!(f, "refused with status {status}{}", faults(document))
             }
             Failure::Conflict(it) => {
-                write!(f, "{it} lost to another change; read it and try again")
+                write!(f, "{it} conflicts with another change; read it again and retry")
             }
-            Failure::NotInForce(it) => write!(f, "{it}"),
-            Failure::Broken(n) => write!(f, "{n} promises broke"),
-            Failure::NotMet(it) => write!(f, "not met: {it}"),
+            Failure::NotApplied(it) => write!(f, "{it}"),
+            Failure::Violated(n) => write!(f, "{n} guarantees violated"),
+            Failure::Unmet(it) => write!(f, "expected result not reached: {it}"),
             Failure::Soak(it) => write!(f, "the daemon cannot be started: {it}"),
             Failure::Plot(it) => write!(f, "the plot cannot be drawn: {it}"),
         }
     }
 }
 
-/// The texts of a problem document that an operator can act on, a line each.
+/// Formats the detail and the faults of a problem document, one fault per line.
 fn faults(document: &Value) -> String {
     let mut lines = String::new();
     if let Some(it) = document["detail"].as_str().or(document["title"].as_str()) {
--- a/crates/holdpoint/src/judge.rs
+++ b/crates/holdpoint/src/judge.rs
@@ -1,4 +1,4 @@
-//! Policies judged against each other.
+//! The `bench policies` command: compares routing policies on simulated workloads.
 
 use std::path::PathBuf;
 
@@ -10,13 +10,13 @@
 
 use crate::{bench::number, failure::Failure, output::table};
 
-/// Offered loads, as percentages of what the engines can do.
-const LOADS: [u32; 5] = [50, 80, 100, 130, 200];
-/// Load at which troubles are compared.
-const TROUBLED_LOAD: u32 = 130;
+/// Offered loads, as percentages of the engines' capacity.
+const LOADS_PERCENT: [u32; 5] = [50, 80, 100, 130, 200];
+/// Offered load in the scenarios with faults.
+const TROUBLE_LOAD_PERCENT: u32 = 130;
 const USERS: [&User; 2] = [&PRAIRIE, &ARMOR];
 
-/// Runs all arms on both users' workloads and prints what each attained and cost.
+/// Runs all arms on both users' workloads and prints attainment and cost of each.
 pub(crate) fn policies(matches: &ArgMatches) -> Result<(), Failure> {
     let seeds = number(matches, "seeds") as u64;
     let setup = |user, arm, load, trouble| Setup {
@@ -31,15 +31,15 @@
     let mut setups = Vec::new();
     for user in USERS {
         for arm in ARMS {
-            setups.extend(LOADS.iter().map(|it| setup(user, arm, *it, Trouble::None)));
+            setups.extend(LOADS_PERCENT.iter().map(|it| setup(user, arm, *it, Trouble::None)));
         }
         for trouble in [Trouble::SlowStage, Trouble::FailingTenth, Trouble::SlowQuarter] {
-            setups.extend(ARMS.iter().map(|it| setup(user, *it, TROUBLED_LOAD, trouble)));
+            setups.extend(ARMS.iter().map(|it| setup(user, *it, TROUBLE_LOAD_PERCENT, trouble)));
         }
     }
     let outcomes = run_all(&setups, seeds);
     let all: Vec<(Setup, Outcome)> = setups.into_iter().zip(outcomes).collect();
-    println!("{seeds} seeds from 1; attainment with its interval of 95 in 100\n");
+    println!("{seeds} seeds from 1; attainment with its 95 % confidence interval\n");
     for user in USERS {
         print_user(user, &all);
     }
@@ -47,19 +47,19 @@
         plot(path, &all)?;
     }
     let failed = failures(&all);
-    if failed.is_empty() { Ok(()) } else { Err(Failure::NotMet(failed.join("; "))) }
+    if failed.is_empty() { Ok(()) } else { Err(Failure::Unmet(failed.join("; "))) }
 }
 
-fn is_of(it: &Setup, user: &User, load: u32, trouble: Trouble) -> bool {
+fn is_case(it: &Setup, user: &User, load: u32, trouble: Trouble) -> bool {
     it.user.name == user.name && it.load == load && it.trouble == trouble
 }
 
 fn print_user(user: &User, all: &[(Setup, Outcome)]) {
     let troubles = [Trouble::SlowStage, Trouble::FailingTenth, Trouble::SlowQuarter];
-    let cases = LOADS.iter().map(|it| (*it, Trouble::None));
-    for (load, trouble) in cases.chain(troubles.map(|it| (TROUBLED_LOAD, it))) {
+    let cases = LOADS_PERCENT.iter().map(|it| (*it, Trouble::None));
+    for (load, trouble) in cases.chain(troubles.map(|it| (TROUBLE_LOAD_PERCENT, it))) {
         println!("{} at {load} %, trouble: {trouble:?}", user.name);
-        let rows = all.iter().filter(|it| is_of(&it.0, user, load, trouble)).map(row).collect();
+        let rows = all.iter().filter(|it| is_case(&it.0, user, load, trouble)).map(row).collect();
         let header = [
             "ARM",
             "ATTAINED",
@@ -91,31 +91,32 @@
     ]
 }
 
-/// What must be shown and is not.
+/// Lists the expectations that the outcomes do not meet.
 fn failures(all: &[(Setup, Outcome)]) -> Vec<String> {
     let mut failed = Vec::new();
-    let of = |user: &User, arm: &str, load: u32, trouble: Trouble| {
-        let found = all.iter().find(|it| is_of(&it.0, user, load, trouble) && it.0.arm.name == arm);
+    let outcome_of = |user: &User, arm: &str, load: u32, trouble: Trouble| {
+        let found =
+            all.iter().find(|it| is_case(&it.0, user, load, trouble) && it.0.arm.name == arm);
         found.map(|it| it.1).unwrap_or_default()
     };
     for user in USERS {
         let cases = [
             (130, Trouble::None),
-            (TROUBLED_LOAD, Trouble::SlowStage),
-            (TROUBLED_LOAD, Trouble::FailingTenth),
+            (TROUBLE_LOAD_PERCENT, Trouble::SlowStage),
+            (TROUBLE_LOAD_PERCENT, Trouble::FailingTenth),
         ];
         for (load, trouble) in cases {
-            let ours = of(user, ARMS[0].name, load, trouble).attainment();
+            let ours = outcome_of(user, ARMS[0].name, load, trouble).attainment();
             let baselines = ARMS[1..].iter().filter(|it| it.route.is_some());
             for arm in baselines {
-                let theirs = of(user, arm.name, load, trouble).attainment();
+                let theirs = outcome_of(user, arm.name, load, trouble).attainment();
                 if ours.low <= theirs.high {
                     let case = format!("{} at {load} %, {trouble:?}", user.name);
                     failed.push(format!("{case}: not above {}", arm.name));
                 }
             }
         }
-        let goodput = |load| of(user, ARMS[0].name, load, Trouble::None).goodput();
+        let goodput = |load| outcome_of(user, ARMS[0].name, load, Trouble::None).goodput();
         if goodput(200) < goodput(100) {
             failed.push(format!("{}: goodput falls from 100 to 200 %", user.name));
         }
@@ -136,8 +137,8 @@
     let series: Vec<Series> = series.collect();
     let texts = Texts {
         title: "Prairie Cellars: requests answered in time",
-        x: "offered load, % of what the engines can do",
-        y: "answers a second",
+        x: "offered load, % of engine capacity",
+        y: "answers per second",
     };
     lines(path, texts, &series).map_err(Failure::Plot)
 }
--- a/crates/holdpoint/src/losses.rs
+++ b/crates/holdpoint/src/losses.rs
@@ -1,4 +1,5 @@
-//! `report losses`: where a day's answers in time were lost, from the logs of all instances.
+//! The `report losses` command: summarises from the logs of all instances which requests were not answered
+//! in time, and why.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,26 +14,27 @@
 use crate::{
     explain::read_logs,
     failure::Failure,
-    output::{Form, table},
+    output::{Format, table},
 };
 
-/// Longest time that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
-/// Lines that cannot be read and are shown.
-const UNREAD_SHOWN: usize = 5;
-/// Numbers of the events that are read: a batch ended, a request ended.
-const BATCH: &str = "E702";
+/// Upper bound of recorded times; longer ones are clamped to it.
+const MAX_TIME_MS: u64 = 600_000;
+/// Maximum number of unparsable lines that the report shows.
+const MAX_UNREAD_LINES: usize = 5;
+/// Event code: a batch call ended.
+const BATCH_ENDED: &str = "E702";
+/// Event code: a request ended.
 const REQUEST_ENDED: &str = "E706";
 
-/// One line of a log, with the fields after its text.
+/// A log line, parsed into its `key=value` fields.
 struct Line<'a> {
-    /// Seconds, as a test bench puts them at the start of each line.
+    /// Time in seconds, from the start of the line.
     at: f64,
     instance: &'a str,
     fields: BTreeMap<&'a str, &'a str>,
 }
 
-/// What one instance's calls to the targets of a service were like, in a span of time.
+/// One instance's calls to the targets of a service during one interval.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ServiceRow {
     service: String,
@@ -40,20 +42,20 @@
     instance: String,
     calls: u64,
     failed: u64,
-    /// Part of the pieces that the calls could have carried.
+    /// Items sent, as a share of the maximum that the calls could have carried.
     filled: f64,
-    /// Mean time over the stated one, in milliseconds.
+    /// Mean excess of the answered calls' duration over the stated duration, in milliseconds.
     over_ms: f64,
-    /// Mean part of the targets' room that was taken.
+    /// Mean share of the targets' room in use (`used_kb` / `room_kb`).
     room: f64,
     no_room: u64,
-    /// Mean of the longest wait of each call's pieces, in milliseconds.
+    /// Mean over the calls of `waited_ms`, the longest wait of a call's items, in milliseconds.
     wait_ms: f64,
-    /// Most pieces that were left waiting.
+    /// Maximum number of items left in the queue.
     backlog: u64,
 }
 
-/// How the requests of a route ended.
+/// Outcomes and times of the requests of one route; pairs of times are the 50th and 90th percentiles.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct RouteRow {
     route: String,
@@ -69,7 +71,7 @@
     late_by_ms: [u64; 2],
 }
 
-/// Requests of one route that were lost in a span of time, for one reason.
+/// Number of requests of one route not answered in time during one interval, for one reason.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct LossRow {
     route: String,
@@ -78,47 +80,49 @@
     requests: u64,
 }
 
-/// All that the report says.
+/// The complete report.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Losses {
     services: Vec<ServiceRow>,
     routes: Vec<RouteRow>,
     losses: Vec<LossRow>,
-    /// Lines of the two events that could not be read, and the first of them.
+    /// Number of lines with one of the two events that could not be parsed.
     unread: usize,
+    /// The first of these lines.
     unread_lines: Vec<String>,
 }
 
 /// Runs the command.
-pub(crate) fn run(matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+pub(crate) fn run(matches: &ArgMatches, format: Format) -> Result<(), Failure> {
     let files = matches.get_many::<PathBuf>("files").into_iter().flatten();
     let span: u64 = *matches.get_one("span").expect("the argument has a default");
     let report = losses(&read_logs(files)?, span.max(1));
     if let Some(path) = matches.get_one::<PathBuf>("plot") {
         let texts = Texts { title: "Requests not in time", x: "seconds", y: "requests" };
         let drawn = lines(path, texts, &series(&report.losses));
-        drawn.map_err(|it| Failure::File(format!("{}: {it}", path.display())))?;
+        drawn.map_err(|it| Failure::Input(format!("{}: {it}", path.display())))?;
     }
-    match form {
-        Form::Json => println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default()),
-        Form::Table => println!("{}", as_tables(&report)),
+    match format {
+        Format::Json => println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default()),
+        Format::Table => println!("{}", as_tables(&report)),
     }
     Ok(())
 }
 
-/// Reads the lines of logs and sums them up, in spans of so many seconds.
+/// Parses log lines and aggregates them over intervals of `span` seconds.
 pub(crate) fn losses(text: &str, span: u64) -> Losses {
     let mut report = Losses::default();
     let mut batches: BTreeMap<(String, u64, String), ServiceSum> = BTreeMap::new();
     let mut routes: BTreeMap<String, RouteSum> = BTreeMap::new();
     let mut lost: BTreeMap<(String, u64, String), u64> = BTreeMap::new();
     for line in text.lines() {
-        let Some(code) = [BATCH, REQUEST_ENDED].into_iter().find(|it| has_code(line, it)) else {
+        let Some(code) = [BATCH_ENDED, REQUEST_ENDED].into_iter().find(|it| has_code(line, it))
+        else {
             continue;
         };
         let read = parse(line, code).and_then(|line| {
             let from_s = line.at.max(0.0) as u64 / span * span;
-            if code == BATCH {
+            if code == BATCH_ENDED {
                 let service = line.text("service")?.to_owned();
                 let key = (service, from_s, line.instance.to_owned());
                 return batches.entry(key).or_default().add(&line);
@@ -132,7 +136,9 @@
         });
         if read.is_none() {
             report.unread += 1;
-            report.unread_lines.extend((report.unread <= UNREAD_SHOWN).then(|| line.to_owned()));
+            report
+                .unread_lines
+                .extend((report.unread <= MAX_UNREAD_LINES).then(|| line.to_owned()));
         }
     }
     report.services = batches.into_iter().map(|(key, it)| it.row(key)).collect();
@@ -170,8 +176,8 @@
     calls: u64,
     answered: u64,
     failed: u64,
-    pieces: u64,
-    most: u64,
+    items: u64,
+    max_items: u64,
     over_ms: f64,
     room: f64,
     no_room: u64,
@@ -182,7 +188,7 @@
 impl ServiceSum {
     fn add(&mut self, line: &Line<'_>) -> Option<()> {
         let number = |name| line.number(name);
-        let (pieces, most) = (number("pieces")?, number("most")?);
+        let (items, max_items) = (number("pieces")?, number("most")?);
         let (ms, stated) = (number("ms")?, number("stated_ms")?);
         let (used, room) = (number("used_kb")?, number("room_kb")?);
         let (no_room, wait, left) = (number("no_room")?, number("waited_ms")?, number("left")?);
@@ -190,8 +196,8 @@
         self.calls += 1;
         self.answered += u64::from(is_answered);
         self.failed += u64::from(!is_answered);
-        self.pieces += pieces;
-        self.most += most;
+        self.items += items;
+        self.max_items += max_items;
         self.over_ms += if is_answered { ms as f64 - stated as f64 } else { 0.0 };
         self.room += used as f64 / room.max(1) as f64;
         self.no_room += no_room;
@@ -208,7 +214,7 @@
             instance,
             calls: self.calls,
             failed: self.failed,
-            filled: self.pieces as f64 / self.most.max(1) as f64,
+            filled: self.items as f64 / self.max_items.max(1) as f64,
             over_ms: self.over_ms / self.answered.max(1) as f64,
             room: self.room / calls,
             no_room: self.no_room,
@@ -220,7 +226,7 @@
 
 struct RouteSum {
     aim_ms: u64,
-    ends: BTreeMap<End, u64>,
+    outcomes: BTreeMap<Outcome, u64>,
     stages: Histogram<u32>,
     first: Histogram<u32>,
     late_by: Histogram<u32>,
@@ -228,10 +234,10 @@
 
 impl Default for RouteSum {
     fn default() -> RouteSum {
-        let empty = Histogram::new_with_max(LONGEST_MS, 2).expect("the bounds are constants");
+        let empty = Histogram::new_with_max(MAX_TIME_MS, 2).expect("the bounds are constants");
         RouteSum {
             aim_ms: 0,
-            ends: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             stages: empty.clone(),
             first: empty.clone(),
             late_by: empty,
@@ -239,60 +245,61 @@
     }
 }
 
-/// How a request ended, as far as its caller is concerned.
+/// Outcome of a request from the caller's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
+enum Outcome {
     InTime,
     Late,
     Refused,
     Failed,
-    Left,
+    CallerGone,
 }
 
 impl RouteSum {
-    /// Takes in the end of a request; returns why it was lost, if it was.
+    /// Adds an ended request and returns why it was lost: `Some(None)` if it was answered in time. Returns
+    /// `None` if the line lacks a field.
     fn add(&mut self, line: &Line<'_>) -> Option<Option<String>> {
         let (aim, ms) = (line.number("aim_ms")?, line.number("ms")?);
         let (first, stages) = (line.number("first_ms")?, line.number("stages_ms")?);
         let (cause, status) = (line.text("cause")?, line.number("status")?);
         let first = if first == 0 { ms } else { first };
-        let end = match (cause, status) {
-            ("answered", _) if first <= aim => End::InTime,
-            ("answered", _) => End::Late,
-            ("caller-gone", _) => End::Left,
-            (_, 503) => End::Refused,
-            _ => End::Failed,
+        let outcome = match (cause, status) {
+            ("answered", _) if first <= aim => Outcome::InTime,
+            ("answered", _) => Outcome::Late,
+            ("caller-gone", _) => Outcome::CallerGone,
+            (_, 503) => Outcome::Refused,
+            _ => Outcome::Failed,
         };
         self.aim_ms = aim;
-        *self.ends.entry(end).or_default() += 1;
-        if matches!(end, End::InTime | End::Late) {
+        *self.outcomes.entry(outcome).or_default() += 1;
+        if matches!(outcome, Outcome::InTime | Outcome::Late) {
             self.stages.saturating_record(stages);
             self.first.saturating_record(first);
         }
-        if end == End::Late {
+        if outcome == Outcome::Late {
             self.late_by.saturating_record(first - aim);
         }
-        let reason = match end {
-            End::InTime => None,
-            End::Late => Some("late".to_owned()),
+        let reason = match outcome {
+            Outcome::InTime => None,
+            Outcome::Late => Some("late".to_owned()),
             _ => Some(cause.to_owned()),
         };
         Some(reason)
     }
 
     fn row(self, route: String) -> RouteRow {
-        let count = |end| self.ends.get(&end).copied().unwrap_or(0);
+        let count = |outcome| self.outcomes.get(&outcome).copied().unwrap_or(0);
         let quantiles =
             |it: &Histogram<u32>| [it.value_at_quantile(0.5), it.value_at_quantile(0.9)];
         RouteRow {
             route,
             aim_ms: self.aim_ms,
-            requests: self.ends.values().sum(),
-            in_time: count(End::InTime),
-            late: count(End::Late),
-            refused: count(End::Refused),
-            failed: count(End::Failed),
-            left: count(End::Left),
+            requests: self.outcomes.values().sum(),
+            in_time: count(Outcome::InTime),
+            late: count(Outcome::Late),
+            refused: count(Outcome::Refused),
+            failed: count(Outcome::Failed),
+            left: count(Outcome::CallerGone),
             stages_ms: quantiles(&self.stages),
             first_ms: quantiles(&self.first),
             late_by_ms: quantiles(&self.late_by),
@@ -300,7 +307,7 @@
     }
 }
 
-/// Lost requests by reason over time, all routes together.
+/// Requests not answered in time, by reason over time, summed over all routes.
 fn series(losses: &[LossRow]) -> Vec<Series> {
     let reasons: BTreeSet<&str> = losses.iter().map(|it| it.reason.as_str()).collect();
     let points = |reason: &str| {
@@ -330,9 +337,9 @@
         ]
     });
     let routes = report.routes.iter().map(|it| {
-        let ends = [it.requests, it.in_time, it.late, it.refused, it.failed, it.left];
+        let outcomes = [it.requests, it.in_time, it.late, it.refused, it.failed, it.left];
         let mut row = vec![it.route.clone(), it.aim_ms.to_string()];
-        row.extend(ends.iter().map(u64::to_string));
+        row.extend(outcomes.iter().map(u64::to_string));
         row.extend([pair(it.stages_ms), pair(it.first_ms), pair(it.late_by_ms)]);
         row
     });
--- a/crates/holdpoint/src/main.rs
+++ b/crates/holdpoint/src/main.rs
@@ -1,4 +1,5 @@
-//! The command line for operators: resources, reports, checks, the demonstration and the benches.
+//! Command-line interface for operators: manages resources, prints reports, checks settings, and runs
+//! the demonstration, the soak test and the benchmarks.
 
 mod api;
 mod bench;
@@ -33,7 +34,7 @@
     let matches = cli::command().get_matches();
     let level = matches.get_one("log-level").copied().unwrap_or(LevelFilter::Off);
     let config = ConfigBuilder::new().add_filter_allow_str("holdpoint").build();
-    // Only a second logger in the same process fails here.
+    // Fails only if a logger is already installed, which cannot happen here.
     drop(TermLogger::init(level, config, TerminalMode::Stderr, ColorChoice::Auto));
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
@@ -58,9 +59,9 @@
             Ok(())
         }
         Some(("declare", it)) => experiments::declare(it).await,
-        Some(("domains", it)) => domains::run(it, api::form(matches)).await,
-        Some(("regions", it)) => regions::run(it, api::form(matches)).await,
-        Some(("rollouts", it)) => rollouts::run(it, api::form(matches)).await,
+        Some(("domains", it)) => domains::run(it, api::output_format(matches)).await,
+        Some(("regions", it)) => regions::run(it, api::output_format(matches)).await,
+        Some(("rollouts", it)) => rollouts::run(it, api::output_format(matches)).await,
         Some(("explain", it)) => explain::run(it),
         Some(("demo", it)) => demo::run(it).await,
         Some(("soak", it)) => soak::run(it).await,
--- a/crates/holdpoint/src/output.rs
+++ b/crates/holdpoint/src/output.rs
@@ -1,27 +1,32 @@
-//! Tables and JSON on standard output.
+//! Prints tables and JSON to standard output.
 
 use serde::Serialize;
 use tabled::{builder::Builder, settings::Style};
 
-/// Form of the output.
+/// Output format of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Form {
+pub(crate) enum Format {
     Table,
     Json,
 }
 
 /// Prints rows under a header as a table, or a value as JSON.
-pub(crate) fn print<T: Serialize>(form: Form, value: &T, header: &[&str], rows: Vec<Vec<String>>) {
-    match form {
-        Form::Json => {
+pub(crate) fn print<T: Serialize>(
+    format: Format,
+    value: &T,
+    header: &[&str],
+    rows: Vec<Vec<String>>,
+) {
+    match format {
+        Format::Json => {
             let text = serde_json::to_string_pretty(value).unwrap_or_default();
             println!("{text}");
         }
-        Form::Table => println!("{}", table(header, rows)),
+        Format::Table => println!("{}", table(header, rows)),
     }
 }
 
-/// Lays rows out under a header.
+/// Formats rows as a table with a header.
 pub(crate) fn table(header: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut builder = Builder::default();
     builder.push_record(header.iter().copied());
--- a/crates/holdpoint/src/regions.rs
+++ b/crates/holdpoint/src/regions.rs
@@ -1,4 +1,5 @@
-//! Regions of the users' platform: listed with their instances, targets and what is sent between them.
+//! The `regions` command: lists regions of the platform with their instances, targets and the requests sent
+//! between them.
 
 use std::collections::BTreeMap;
 
@@ -12,50 +13,50 @@
 
 use crate::{
     failure::Failure,
-    output::{Form, print},
+    output::{Format, print},
     store::{get, newest},
 };
 
-/// Counter of requests that would be late in their region, as the metrics show it.
-const SPILLS: &str = "holdpoint_spills_total{";
-/// Counter of bytes sent to other regions.
-const BYTES: &str = "holdpoint_region_bytes_total{";
-/// Row of what stands in a failure domain whose region is not stated.
-const UNKNOWN: &str = "unknown";
+/// Metric that counts requests that would be late in their own region.
+const SPILLS_METRIC: &str = "holdpoint_spills_total{";
+/// Metric that counts bytes sent to other regions.
+const BYTES_METRIC: &str = "holdpoint_region_bytes_total{";
+/// Row for failure domains that the settings assign to no region.
+const UNKNOWN_REGION: &str = "unknown";
 
-/// The part of an instance's settings that names the regions.
+/// The part of an instance's settings that maps failure domains to regions.
 #[derive(Debug, Deserialize)]
 struct Settings {
     #[serde(default)]
     regions: BTreeMap<String, String>,
 }
 
-/// A region as the store knows it, and what instances have sent to it.
+/// State of a region from the store, and traffic counts from the metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 struct Region {
     instances: usize,
-    /// Targets that get new work.
+    /// Targets that accept new requests.
     targets: usize,
-    /// Requests that they work on at once.
+    /// Total number of requests that these targets process concurrently.
     slots: u64,
-    /// Targets that are leaving or evacuated.
+    /// Targets that are draining or evacuated.
     held: usize,
-    /// Requests that other regions sent here, as far as metrics were read.
+    /// Requests that other regions sent here, from the metrics read.
     sent: u64,
-    /// Requests that stayed in other regions although they would be late there.
+    /// Requests that were not sent here although they would be late in their own region.
     kept: u64,
 }
 
 /// Lists the regions.
-pub(crate) async fn run(matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+pub(crate) async fn run(matches: &ArgMatches, format: Format) -> Result<(), Failure> {
     let store: &String = matches.get_one("store").expect("the argument is required");
     let path: &String = matches.get_one("settings").expect("the argument is required");
-    let text = std::fs::read(path).map_err(|it| Failure::File(format!("{path}: {it}")))?;
+    let text = std::fs::read(path).map_err(|it| Failure::Input(format!("{path}: {it}")))?;
     let settings: Settings =
-        serde_json::from_slice(&text).map_err(|it| Failure::File(format!("{path}: {it}")))?;
+        serde_json::from_slice(&text).map_err(|it| Failure::Input(format!("{path}: {it}")))?;
     let region_of = |domain: &str| {
         let region = settings.regions.get(domain);
-        region.cloned().unwrap_or_else(|| UNKNOWN.to_owned())
+        region.cloned().unwrap_or_else(|| UNKNOWN_REGION.to_owned())
     };
     let stated = settings.regions.values().map(|it| (it.clone(), Region::default()));
     let mut regions: BTreeMap<String, Region> = stated.collect();
@@ -68,7 +69,7 @@
         }
     }
     for record in newest(store, TARGETS_TOPIC).await? {
-        // What the instances cannot read either is no target.
+        // Skips records that cannot be parsed; instances ignore them too.
         let Ok(Some(target)) = instances::parse(&record) else { continue };
         let region = regions.entry(region_of(&target.domain)).or_default();
         if target.is_leaving || is_evacuated(&target.domain) {
@@ -89,23 +90,23 @@
         std::iter::once(name.clone()).chain(numbers.map(|it| it.to_string())).collect()
     };
     let header = ["REGION", "INSTANCES", "TARGETS", "SLOTS", "HELD", "SENT HERE", "KEPT AWAY"];
-    print(form, &regions, &header, regions.iter().map(row).collect());
+    print(format, &regions, &header, regions.iter().map(row).collect());
     if bytes != 0 {
         eprintln!("bytes of requests sent between regions: {bytes}");
     }
     Ok(())
 }
 
-/// Adds the counters of one instance's metrics; returns the bytes that it sent to other regions.
+/// Adds the counters from one instance's metrics page; returns the bytes it sent to other regions.
 fn add_metrics(regions: &mut BTreeMap<String, Region>, page: &str) -> u64 {
     let mut bytes = 0;
     for line in page.lines() {
         let Some(value) = line.rsplit(' ').next().and_then(|it| it.parse::<f64>().ok()) else {
             continue;
         };
-        if line.starts_with(BYTES) {
+        if line.starts_with(BYTES_METRIC) {
             bytes += value as u64;
-        } else if let Some(labels) = line.strip_prefix(SPILLS) {
+        } else if let Some(labels) = line.strip_prefix(SPILLS_METRIC) {
             let Some(name) = label(labels, "region") else { continue };
             let region = regions.entry(name.to_owned()).or_default();
             match label(labels, "outcome") {
@@ -117,7 +118,7 @@
     bytes
 }
 
-/// Value of a label in a line of the metrics.
+/// Returns the value of a label in a metrics line.
 fn label<'a>(labels: &'a str, name: &str) -> Option<&'a str> {
     let start = labels.find(&format!("{name}=\""))? + name.len() + 2;
     labels[start..].split('"').next()
--- a/crates/holdpoint/src/rollouts.rs
+++ b/crates/holdpoint/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs on the users' platform: listed with their status, started and withdrawn.
+//! The `rollouts` command: lists roll-outs on the platform with their status, starts and aborts them.
 
 use std::{
     collections::BTreeMap,
@@ -16,54 +16,55 @@
 
 use crate::{
     failure::Failure,
-    output::{Form, print},
+    output::{Format, print},
     store::{append, newest},
 };
 
-/// Longest name of a service, in bytes; the store's keys have 255.
-const LONGEST_NAME: usize = 200;
-/// Shortest and longest time for a roll-out, in seconds. Under the shortest no version can be judged.
-const SECONDS: std::ops::RangeInclusive<f64> = 5.0..=86_400.0;
-/// How often the status is read while it is waited for.
-const POLL: Duration = Duration::from_millis(250);
-/// How long after its deadline a roll-out's status is waited for.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Maximum length of a service's or version's name; the store limits keys to 255 bytes.
+const MAX_NAME_BYTES: usize = 200;
+/// Permitted duration of a roll-out. A shorter one leaves too little time to evaluate the version.
+const DURATION_RANGE_S: std::ops::RangeInclusive<f64> = 5.0..=86_400.0;
+/// Interval between reads of the status while waiting for it.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after a roll-out's deadline during which its final status may still arrive.
+const STATUS_GRACE: Duration = Duration::from_secs(5);
 
-/// A roll-out as the store knows it.
+/// State of a service's roll-out, from the store.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Row {
-    /// Offset of the order in force.
+    /// Offset of the active order.
     order: Option<u64>,
-    /// Version that it names.
+    /// Version in the order.
     version: Option<String>,
-    /// Time that it states, in seconds.
+    /// Duration in the order, in seconds.
     within_s: Option<f64>,
-    /// Status, and the version that it names.
+    /// Latest reported state.
     state: Option<&'static str>,
+    /// Version that the reported state refers to.
     status_version: Option<String>,
-    /// Targets that are not leaving, by version.
+    /// Number of targets that are not draining, by version.
     targets: BTreeMap<String, usize>,
 }
 
-/// Lists, starts or withdraws roll-outs.
-pub(crate) async fn run(matches: &ArgMatches, form: Form) -> Result<(), Failure> {
+/// Lists, starts or aborts roll-outs.
+pub(crate) async fn run(matches: &ArgMatches, format: Format) -> Result<(), Failure> {
     let store: &String = matches.get_one("store").expect("the argument is required");
     match matches.subcommand() {
         Some(("start", it)) => start(store, it).await,
         Some(("abort", it)) => abort(store, it).await,
-        _ => list(store, form).await,
+        _ => list(store, format).await,
     }
 }
 
 async fn start(store: &str, matches: &ArgMatches) -> Result<(), Failure> {
-    let service = checked(matches, "service")?;
-    let version = checked(matches, "version")?;
+    let service = name_argument(matches, "service")?;
+    let version = name_argument(matches, "version")?;
     let within: &String = matches.get_one("within").expect("the argument has a default");
-    let seconds = seconds(within)?;
+    let seconds = parse_seconds(within)?;
     let rows = rows(store).await?;
     let targets = rows.get(service).map(|it| it.targets.clone()).unwrap_or_default();
     if targets.is_empty() {
-        return Err(Failure::File(format!("service: {service} has no targets")));
+        return Err(Failure::Input(format!("service: {service} has no targets")));
     }
     if !targets.contains_key(version) {
         eprintln!("no target of {service} has version {version} yet");
@@ -78,15 +79,15 @@
             println!("{service}: {version} completed");
             Ok(())
         }
-        _ => Err(Failure::NotMet(format!("{service}: {version} was rolled back"))),
+        _ => Err(Failure::Unmet(format!("{service}: {version} was rolled back"))),
     }
 }
 
 async fn abort(store: &str, matches: &ArgMatches) -> Result<(), Failure> {
-    let service = checked(matches, "service")?;
+    let service = name_argument(matches, "service")?;
     let rows = rows(store).await?;
     let Some(version) = rows.get(service).and_then(|it| it.version.clone()) else {
-        return Err(Failure::File(format!("service: {service} has no order")));
+        return Err(Failure::Input(format!("service: {service} has no order")));
     };
     append(store, OPERATORS_TOPIC, &key(service), &[]).await?;
     println!("{service}: order of {version} withdrawn");
@@ -98,7 +99,7 @@
             println!("{service}: {version} rolled back");
             Ok(())
         }
-        _ => Err(Failure::NotMet(format!("{service}: {version} was completed before"))),
+        _ => Err(Failure::Unmet(format!("{service}: {version} had already completed"))),
     }
 }
 
@@ -109,8 +110,9 @@
     version: &str,
     within: Duration,
 ) -> Result<State, Failure> {
-    let until = Instant::now() + within + PATIENCE;
-    // An earlier roll-out of the same version may have left its end; the new one says first that it runs.
+    let until = Instant::now() + within + STATUS_GRACE;
+    // The store may still hold the final status of an earlier roll-out of this version, so a final
+    // status counts only after `Running` was seen.
     let mut was_running = false;
     loop {
         let found = newest(store, STATUS_TOPIC).await?;
@@ -125,39 +127,42 @@
         }
         if until < Instant::now() {
             let text = format!("{service}: {version} has no final status");
-            return Err(Failure::NotInForce(text));
+            return Err(Failure::NotApplied(text));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A name that was given, if it can be one.
-fn checked<'a>(matches: &'a ArgMatches, argument: &str) -> Result<&'a str, Failure> {
+/// Returns an argument that must be a valid name.
+fn name_argument<'a>(matches: &'a ArgMatches, argument: &str) -> Result<&'a str, Failure> {
     let name: &String = matches.get_one(argument).expect("the argument is required");
-    if name.is_empty() || LONGEST_NAME < name.len() || name.chars().any(char::is_control) {
-        let text =
-            format!("{argument}: {name:?} has 1 to {LONGEST_NAME} bytes and no control characters");
-        return Err(Failure::File(text));
+    if name.is_empty() || MAX_NAME_BYTES < name.len() || name.chars().any(char::is_control) {
+        let text = format!(
+            "{argument}: {name:?} must have 1 to {MAX_NAME_BYTES} bytes and no control characters"
+        );
+        return Err(Failure::Input(text));
     }
     Ok(name)
 }
 
-/// Reads a time such as `30s`, `5m` or `30`.
-fn seconds(text: &str) -> Result<f64, Failure> {
+/// Parses a duration such as `30s`, `5m` or `30` into seconds.
+fn parse_seconds(text: &str) -> Result<f64, Failure> {
     let (number, factor) = match text.strip_suffix('m') {
         Some(it) => (it, 60.0),
         None => (text.strip_suffix('s').unwrap_or(text), 1.0),
     };
     let seconds = number.parse::<f64>().map(|it| it * factor).ok();
-    seconds.filter(|it| SECONDS.contains(it)).ok_or_else(|| {
-        Failure::File(format!("within: {text:?} is no time of 5 seconds to a day, as 30s or 5m"))
+    seconds.filter(|it| DURATION_RANGE_S.contains(it)).ok_or_else(|| {
+        Failure::Input(format!(
+            "within: {text:?} must be a duration between 5 seconds and a day, such as 30s or 5m"
+        ))
     })
 }
 
 async fn rows(store: &str) -> Result<BTreeMap<String, Row>, Failure> {
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
     for record in newest(store, TARGETS_TOPIC).await? {
-        // What the instances cannot read either is no target.
+        // Skips records that cannot be parsed; instances ignore them too.
         if let Ok(Some(it)) = instances::parse(&record)
             && !it.is_leaving
         {
@@ -165,7 +170,7 @@
         }
     }
     for record in newest(store, OPERATORS_TOPIC).await? {
-        // Nor is what they cannot read an order.
+        // Skips orders that cannot be parsed; instances ignore them too.
         if let Some(Ok(OrderRecord::Ordered { offset, service, version, duration_ms })) =
             parse_order(&record)
         {
@@ -189,7 +194,7 @@
     Ok(rows)
 }
 
-async fn list(store: &str, form: Form) -> Result<(), Failure> {
+async fn list(store: &str, format: Format) -> Result<(), Failure> {
     let mut rows = rows(store).await?;
     rows.retain(|_, it| it.order.is_some() || it.state.is_some());
     let text = |it: Option<&str>| it.unwrap_or("-").to_owned();
@@ -201,6 +206,6 @@
         vec![service.clone(), text(version), text(it.state), within, targets.join(", ")]
     };
     let header = ["SERVICE", "VERSION", "STATE", "WITHIN, S", "TARGETS"];
-    print(form, &rows, &header, rows.iter().map(row).collect());
+    print(format, &rows, &header, rows.iter().map(row).collect());
     Ok(())
 }
--- a/crates/holdpoint/src/soak.rs
+++ b/crates/holdpoint/src/soak.rs
@@ -1,4 +1,4 @@
-//! `holdpoint soak`: random faults on real processes.
+//! The `soak` command: injects random faults into real processes.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -7,31 +7,32 @@
 
 use crate::failure::Failure;
 
-/// Name of the daemon's program.
+/// File name of the daemon's executable.
 const DAEMON: &str = "holdpointd";
 
-/// Plays each seed and prints its verdict; fails if a promise was broken under any of them.
+/// Runs each seed and prints its verdict; fails if a guarantee was violated for any of them.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<(), Failure> {
     let number = |name: &str| *matches.get_one::<u64>(name).expect("the argument has a default");
     let length = Duration::from_secs(number("seconds"));
     let daemon = matches.get_one::<PathBuf>("daemon").cloned();
     let former = matches.get_one::<PathBuf>("former").cloned();
     let has_former = former.is_some();
-    let builds = Builds::new(daemon.unwrap_or_else(beside_this_program)).with_former(former);
+    let builds = Builds::new(daemon.unwrap_or_else(default_daemon)).with_former(former);
     let builds = builds.with_logs(matches.get_one::<PathBuf>("logs").cloned());
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in (number("seed")..).take(number("count") as usize) {
         let plan = Plan::draw(seed, length);
         let plan = if matches.get_flag("no-notices") { plan.without_notices() } else { plan };
         let plan = if has_former { plan.without_limits() } else { plan };
         let verdict = holdpoint_soak::run(&plan, &builds).await.map_err(Failure::Soak)?;
         println!("{verdict}");
-        broken += verdict.findings.len() as u64;
+        violations += verdict.findings.len() as u64;
     }
-    if broken == 0 { Ok(()) } else { Err(Failure::Broken(broken)) }
+    if violations == 0 { Ok(()) } else { Err(Failure::Violated(violations)) }
 }
 
-fn beside_this_program() -> PathBuf {
+/// Path of the daemon in the folder of this program.
+fn default_daemon() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     own.with_file_name(DAEMON)
 }
--- a/crates/holdpoint/src/store.rs
+++ b/crates/holdpoint/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's store.
+//! HTTP client for the platform's store.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 use crate::failure::Failure;
 
-/// How long one call may take.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reads the newest record of each key of a topic.
 pub(crate) async fn newest(store: &str, topic: &str) -> Result<Vec<KeyedRecord>, Failure> {
@@ -18,7 +18,7 @@
     loop {
         let path = newest_path(topic, records.last().map(|it| it.key.as_str()));
         let body = get(store, &path).await?;
-        let page = parse_newest(&body).map_err(|it| Failure::File(it.to_string()))?;
+        let page = parse_newest(&body).map_err(|it| Failure::Input(it.to_string()))?;
         let is_empty = page.records.is_empty();
         records.extend(page.records);
         if !page.has_more || is_empty {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Appends a record to a keyed topic; without a value it drops the key.
+/// Appends a record to a keyed topic; an empty value deletes the key.
 pub(crate) async fn append(
     store: &str,
     topic: &str,
@@ -38,7 +38,7 @@
     call(Method::POST, store, &path, body).await.map(drop)
 }
 
-/// Reads a page of any of the system's addresses.
+/// Sends a GET request to any address of the system and returns the body.
 pub(crate) async fn get(address: &str, path: &str) -> Result<Vec<u8>, Failure> {
     call(Method::GET, address, path, Vec::new()).await
 }
@@ -49,7 +49,7 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<Vec<u8>, Failure> {
-    let called = Http::new().call(method, address, path, &[], body, LIMIT).await;
+    let called = Http::new().call(method, address, path, &[], body, CALL_TIMEOUT).await;
     let reply = called.map_err(|it| Failure::Api(ApiError::Call(it)))?;
     if reply.status.is_success() {
         return Ok(reply.body.to_vec());
--- a/crates/holdpoint/tests/cli.rs
+++ b/crates/holdpoint/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line against a running system.
+//! Runs the command line against a running system.
 
 use std::{
     io::{BufRead, BufReader},
@@ -44,9 +44,9 @@
     let got = json(&run(&second, &["get", "policies", "cli"]).await);
     assert_eq!(got["spec"]["route"], "random");
     let again = run(&second, &["apply", "-f", &path]).await;
-    assert_eq!(again.status.code(), Some(5), "it exists already: a conflict");
+    assert_eq!(again.status.code(), Some(5), "the resource already exists: a conflict");
 
-    // A watch resumes after the version it is given, at the other instance.
+    // A watch resumes after the given version, also on another instance.
     let mut child = holdpoint(&second, &["watch", "policies", "--from", &before])
         .stdout(Stdio::piped())
         .spawn()
@@ -102,12 +102,12 @@
         std::io::Write::write_all(&mut child.stdin.take().unwrap(), log.as_bytes()).unwrap();
         child.wait_with_output().unwrap()
     };
-    let told = String::from_utf8(run("r-1").stdout).unwrap();
-    assert!(told.contains("target=t-1") && !told.contains("r-2"));
-    assert!(told.contains("cause: the route allows no further target"));
-    let told = String::from_utf8(run("r-3").stdout).unwrap();
-    assert!(told.contains("regions=east"));
-    assert!(told.contains("cause: its route or organisation allows only regions that cannot"));
+    let stdout = String::from_utf8(run("r-1").stdout).unwrap();
+    assert!(stdout.contains("target=t-1") && !stdout.contains("r-2"));
+    assert!(stdout.contains("cause: the route allows no further target"));
+    let stdout = String::from_utf8(run("r-3").stdout).unwrap();
+    assert!(stdout.contains("regions=east"));
+    assert!(stdout.contains("cause: its route or organisation allows only regions that cannot"));
     assert_eq!(run("r-9").status.code(), Some(2));
 }
 
--- a/crates/holdpoint/tests/domains.rs
+++ b/crates/holdpoint/tests/domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains on the platform, through the command line.
+//! The `domains` command against a store and a running instance.
 
 use std::{
     process::{Command, Output},
@@ -10,8 +10,8 @@
 use serde_json::{Value, json};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_holdpoint");
-/// How long a condition may take to hold; a test that works takes a fraction of it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for a condition to become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn run(store: &str, args: &[&str]) -> Output {
     let mut all = vec!["-o", "json", "domains", "--store", store];
@@ -27,13 +27,15 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-async fn until(condition: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("the condition holds in time");
+    tokio::time::timeout(CONDITION_TIMEOUT, wait)
+        .await
+        .expect("the condition did not become true within the timeout");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -54,16 +56,16 @@
         "store": { "address": address, "poll_ms": 50, "timeout_ms": 300 },
     });
     let instance = Ingress::start(serde_json::from_value(settings).unwrap()).unwrap();
-    until(|| instance.is_ready() && instance.open_count() == 2).await;
+    wait_until(|| instance.is_ready() && instance.open_count() == 2).await;
     assert!(run(&address, &["evacuate", "two"]).await.status.success());
-    until(|| instance.open_count() == 1).await;
+    wait_until(|| instance.open_count() == 1).await;
     assert!(run(&address, &["evacuate", "nobody"]).await.status.success());
     let listed = list(&address).await;
     assert_eq!(listed["one"], json!({ "evacuated_by": null, "targets": 1, "slots": 8 }));
     assert_eq!(listed["two"], json!({ "evacuated_by": 1, "targets": 1, "slots": 8 }));
     assert_eq!(listed["nobody"], json!({ "evacuated_by": 2, "targets": 0, "slots": 0 }));
     assert!(run(&address, &["restore", "two"]).await.status.success());
-    until(|| instance.open_count() == 2).await;
+    wait_until(|| instance.open_count() == 2).await;
     assert_eq!(list(&address).await["two"]["evacuated_by"], Value::Null);
 }
 
@@ -81,12 +83,12 @@
     assert_eq!(run(&silent, &["restore", "a"]).await.status.code(), Some(4));
 }
 
-/// An address at which nobody answers, kept so by a port that is bound and refuses.
+/// Returns an address that refuses connections: its port is bound but not listening.
 async fn refusing_address() -> String {
     let bound = tokio::net::TcpSocket::new_v4().unwrap();
     bound.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = bound.local_addr().unwrap().to_string();
-    // Bound and not listening for the rest of the process, so that no other test gets the port.
+    // Keeps the port bound for the rest of the process, so that no other test gets it.
     std::mem::forget(bound);
     address
 }
--- a/crates/holdpoint/tests/experiments.rs
+++ b/crates/holdpoint/tests/experiments.rs
@@ -1,5 +1,5 @@
-//! Policies and trials on the platform's ingress, through the command line: declared, swapped and
-//! judged on the requests that instances serve.
+//! Policies and trials on the platform's ingress, through the command line: declared, evaluated on the
+//! requests that instances serve, and dropped.
 
 use std::{
     path::PathBuf,
@@ -15,8 +15,8 @@
 use serde_json::{Value, json};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_holdpoint");
-/// How long a condition may take to hold; a test that works takes a fraction of it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for a condition to become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn run(args: Vec<String>) -> Output {
     let run = move || Command::new(BINARY).args(args).output().unwrap();
@@ -45,29 +45,31 @@
     String::from_utf8_lossy(&call(address, request).await.unwrap().body).into_owned()
 }
 
-async fn ask(instance: &Ingress, id: &str) -> u16 {
+async fn send_request(instance: &Ingress, id: &str) -> u16 {
     let callers = instance.listen().callers.parse().unwrap();
     call(callers, CallerRequest::new(id, "/safe/")).await.unwrap().status.as_u16()
 }
 
-/// Asks until the metrics of an instance say whether requests fall to a trial.
-async fn until_divided(instance: &Ingress, is_divided: bool) {
-    let divided = async {
+/// Sends requests until the instance's metrics show that they are (or are not) assigned to a trial.
+async fn wait_for_trial(instance: &Ingress, is_active: bool) {
+    let reached = async {
         for round in 0.. {
             let before = metrics(instance).await;
-            assert_eq!(ask(instance, &format!("warm-{round}")).await, 200);
+            assert_eq!(send_request(instance, &format!("warm-{round}")).await, 200);
             let after = metrics(instance).await;
             let count = |page: &str| -> f64 {
                 let lines = page.lines().filter(|it| it.starts_with("holdpoint_trial_requests"));
                 lines.filter_map(|it| it.rsplit_once(' ')?.1.parse::<f64>().ok()).sum()
             };
-            if (count(&before) < count(&after)) == is_divided {
+            if (count(&before) < count(&after)) == is_active {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, divided).await.expect("the trial is in force, or dropped");
+    tokio::time::timeout(CONDITION_TIMEOUT, reached)
+        .await
+        .expect("the trial was not activated or dropped within the timeout");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -83,7 +85,9 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, ready).await.expect("the instances are ready");
+    tokio::time::timeout(CONDITION_TIMEOUT, ready)
+        .await
+        .expect("the instances did not become ready within the timeout");
     let address = store.gate.address.to_string();
     let declare = |args: &[&str]| {
         let fixed = ["declare", "--store", &address];
@@ -102,10 +106,10 @@
     let declared = declare(&["-f", &resources]).await;
     assert!(declared.status.success(), "{}", String::from_utf8_lossy(&declared.stderr));
     for it in &instances {
-        until_divided(it, true).await;
+        wait_for_trial(it, true).await;
     }
     for id in 0..40 {
-        assert_eq!(ask(&instances[id % 2], &format!("r-{id}")).await, 200);
+        assert_eq!(send_request(&instances[id % 2], &format!("r-{id}")).await, 200);
     }
     let metrics = instances.each_ref().map(|it| it.listen().metrics.clone());
     let mut args = vec!["-o", "json", "report", "arms", "safe-routes", "--store", &address];
@@ -122,7 +126,7 @@
     assert!(dropped.status.success());
     let released = declare(&["--drop", "quarantine/0011223344556677"]).await;
     assert!(released.status.success());
-    until_divided(&instances[0], false).await;
+    wait_for_trial(&instances[0], false).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/holdpoint/tests/regions.rs
+++ b/crates/holdpoint/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Regions on the platform, through the command line.
+//! The `regions` command against a store and a running instance.
 
 use std::{
     path::Path,
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_holdpoint");
-/// How long a condition may take to hold; a test that works takes a fraction of it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for a condition to become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn run(args: Vec<String>) -> Output {
     let run = move || Command::new(BINARY).args(args).output().unwrap();
@@ -46,7 +46,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, ready).await.unwrap();
+    tokio::time::timeout(CONDITION_TIMEOUT, ready).await.unwrap();
     let path = file.to_str().unwrap();
     let metrics = instance.listen().metrics.clone();
     let args = ["-o", "json", "regions", "--store", &address, "--settings", path, "--metrics"];
@@ -56,7 +56,7 @@
         assert!(output.status.success(), "{output:?}");
         serde_json::from_slice::<Value>(&output.stdout).unwrap()
     };
-    // The instance puts its entry into the store while it already serves.
+    // The instance may be ready before its entry is in the store.
     let listed = async {
         loop {
             let listed = list().await;
@@ -65,12 +65,20 @@
             }
         }
     };
-    let listed = tokio::time::timeout(PATIENCE, listed).await.expect("the instance is listed");
-    let of = |region: &str, what: &str| listed[region][what].as_u64().unwrap();
-    assert_eq!((of("east", "instances"), of("east", "targets"), of("east", "held")), (1, 1, 0));
-    assert_eq!((of("north", "instances"), of("north", "targets"), of("north", "held")), (0, 1, 1));
-    assert_eq!(of("unknown", "targets"), 1, "its failure domain has no region");
-    assert_eq!((of("north", "sent"), of("north", "kept")), (0, 0));
+    let listed = tokio::time::timeout(CONDITION_TIMEOUT, listed)
+        .await
+        .expect("the instance was not listed within the timeout");
+    let count = |region: &str, what: &str| listed[region][what].as_u64().unwrap();
+    assert_eq!(
+        (count("east", "instances"), count("east", "targets"), count("east", "held")),
+        (1, 1, 0)
+    );
+    assert_eq!(
+        (count("north", "instances"), count("north", "targets"), count("north", "held")),
+        (0, 1, 1)
+    );
+    assert_eq!(count("unknown", "targets"), 1, "its failure domain has no region");
+    assert_eq!((count("north", "sent"), count("north", "kept")), (0, 0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/holdpoint/tests/rollouts.rs
+++ b/crates/holdpoint/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs on the platform, through the command line.
+//! The `rollouts` command against a store and a running instance.
 
 use std::{
     process::{Command, Output},
@@ -12,8 +12,8 @@
 use serde_json::{Value, json};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_holdpoint");
-/// How long a condition may take to hold; a test that works takes a fraction of it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for a condition to become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn run(store: &str, args: &[&str]) -> Output {
     let mut all = vec!["-o", "json", "rollouts", "--store", store];
@@ -29,13 +29,15 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-async fn until(condition: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("the condition holds in time");
+    tokio::time::timeout(CONDITION_TIMEOUT, wait)
+        .await
+        .expect("the condition did not become true within the timeout");
 }
 
 async fn start(new: Behaviour) -> (Store, Ingress, Vec<Target>) {
@@ -54,7 +56,7 @@
         "store": { "address": store.gate.address.to_string(), "poll_ms": 50, "timeout_ms": 300 },
     });
     let instance = Ingress::start(serde_json::from_value(settings).unwrap()).unwrap();
-    until(|| instance.is_ready() && instance.target_count() == 2).await;
+    wait_until(|| instance.is_ready() && instance.target_count() == 2).await;
     (store, instance, targets)
 }
 
@@ -83,7 +85,7 @@
     assert_eq!(list(&address).await, json!({}));
     let output = run(&address, &["start", "plain", "v2", "--within", "1m"]).await;
     assert!(output.status.success(), "{output:?}");
-    until(|| !store.rollout_statuses("plain").is_empty()).await;
+    wait_until(|| !store.rollout_statuses("plain").is_empty()).await;
     let listed = list(&address).await;
     assert_eq!(listed["plain"]["version"], "v2");
     assert_eq!(listed["plain"]["within_s"], 60.0);
