--- a/crates/holdpoint/src/cli.rs
+++ b/crates/holdpoint/src/cli.rs
@@ -142,7 +142,7 @@
                 .long("within")
                 .value_name("TIME")
                 .default_value("60s")
-                .help("Duration of the roll-out, such as 30s or 5m"),
+                .help("Time in which to complete the roll-out, such as 30s or 5m"),
         )
         .arg(wait());
     let abort = Command::new("abort")
--- a/crates/holdpoint/src/explain.rs
+++ b/crates/holdpoint/src/explain.rs
@@ -14,9 +14,9 @@
 const MEANINGS: [(&str, &str); 9] = [
     ("E640", "no target in the regions that the request is confined to"),
     ("E700", "sent to a target"),
-    ("E701", "the target gave no complete answer"),
+    ("E701", "the send ended without a complete answer"),
     ("E703", "results of a stage are missing"),
-    ("E704", "the target broke off the streamed answer"),
+    ("E704", "the stream broke off at its target"),
     ("E705", "denied before a route was chosen"),
     ("E706", "request ended"),
     (
