--- a/crates/holdpoint/src/rollouts.rs
+++ b/crates/holdpoint/src/rollouts.rs
@@ -112,7 +112,7 @@
 ) -> Result<State, Failure> {
     let until = Instant::now() + within + STATUS_GRACE;
     // The store may still hold the final status of an earlier roll-out of this version, so a final
-    // status counts only after `Running` was seen.
+    // status counts only after `Running` was seen. An abort, which waits with `within` zero, accepts any.
     let mut was_running = false;
     loop {
         let found = newest(store, STATUS_TOPIC).await?;
