--- a/crates/holdpoint-emulator/src/capacity.rs
+++ b/crates/holdpoint-emulator/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Slopes: what the real code spends as each size grows, measured and fitted.
+//! Measures how memory, time and bytes of the core grow with the size of the system, and fits a
+//! line to each.
 
 use std::{collections::HashMap, hint::black_box, pin::Pin, time::Instant};
 
@@ -24,25 +25,25 @@
 use tokio_serde::{Serializer, formats::Cbor};
 use uuid::{Builder, Uuid};
 
-/// Net bytes allocated by this process so far.
+/// Returns the net bytes allocated by this process.
 pub type Allocated = fn() -> usize;
 
-/// Times that each measurement is made; the spread is between them.
+/// Runs of each measurement; the spread is taken over them.
 const REPEATS: usize = 5;
 
-/// Sizes with what was measured at each.
+/// Pairs of size and measured value.
 type Points = Vec<(f64, f64)>;
 
-/// A measured slope.
+/// A line fitted to a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// What is measured, with its unit.
+    /// Measured quantity, with its unit.
     pub what: &'static str,
-    /// What it grows with.
+    /// Size that it grows with.
     pub by: &'static str,
-    /// Points of the middle run.
+    /// Points of the median run.
     pub points: Points,
-    /// Growth for one more, of the median run.
+    /// Slope of the median run: growth per unit of size.
     pub slope: f64,
     /// Value at size 0, of the median run.
     pub base: f64,
@@ -50,14 +51,14 @@
     pub spread: (f64, f64),
 }
 
-/// Runs one measurement several times and fits a line to each.
+/// Runs one measurement `REPEATS` times and fits a line to each run.
 fn fit(
     what: &'static str,
     by: &'static str,
     sizes: &[usize],
     mut measure: impl FnMut(usize) -> f64,
 ) -> Slope {
-    // The first run warms caches and the allocator, and is not counted.
+    // Warm up caches and the allocator.
     for size in sizes {
         black_box(measure(*size));
     }
@@ -74,18 +75,18 @@
     Slope { what, by, points, slope, base, spread }
 }
 
-/// Least squares: slope and value at 0.
+/// Least-squares fit: slope and value at 0.
 fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let (sx, sy) = points.iter().fold((0.0, 0.0), |sum, it| (sum.0 + it.0, sum.1 + it.1));
     let (mx, my) = (sx / n, sy / n);
-    let over: f64 = points.iter().map(|it| (it.0 - mx) * (it.1 - my)).sum();
-    let under: f64 = points.iter().map(|it| (it.0 - mx).powi(2)).sum();
-    let slope = if under == 0.0 { 0.0 } else { over / under };
+    let numerator: f64 = points.iter().map(|it| (it.0 - mx) * (it.1 - my)).sum();
+    let denominator: f64 = points.iter().map(|it| (it.0 - mx).powi(2)).sum();
+    let slope = if denominator == 0.0 { 0.0 } else { numerator / denominator };
     (slope, my - slope * mx)
 }
 
-/// All slopes of pure code.
+/// Measures all slopes. `allocated` returns the net bytes allocated by this process.
 pub fn slopes(allocated: Allocated) -> Vec<Slope> {
     let mut slopes = organisations(allocated);
     slopes.extend(targets(allocated));
@@ -116,7 +117,7 @@
     let mut state = State::default();
     for index in 0..organisations {
         let offset = index as u64 + 1;
-        // An hour between changes: what the fold remembers of changes stays small, as in life.
+        // An hour between changes keeps the fold's memory of recent changes small.
         state.apply(offset, offset * 3_600_001, &change(index, offset, 0));
     }
     state
@@ -136,7 +137,7 @@
     let one_change = |n: usize, is_rebuilt: bool| {
         let mut state = state(n).clone();
         let mut catalog = Catalog::new(&state);
-        let shown = catalog.clone();
+        let old_catalog = catalog.clone();
         let offset = state.offset() + 1;
         let record = change(7, offset, 8);
         let took = micros(|| {
@@ -147,7 +148,7 @@
                 catalog.set(&kind, &name, entry.as_ref());
             }
         });
-        drop(black_box((catalog, shown)));
+        drop(black_box((catalog, old_catalog)));
         took
     };
     vec![
@@ -245,7 +246,7 @@
         let mut gate = Gate::new(4 * n);
         for name in &names[..n] {
             let ask = Ask { organisation: name, share: 1, cap: 64, deadline: 10_000, need: 100 };
-            // The gate lets one in four through and lets the others wait.
+            // The gate admits one in four and defers the others.
             black_box(gate.offer(0, &ask));
         }
         gate
@@ -332,9 +333,9 @@
                 for (offset, steps) in (1..).zip(&steps) {
                     table.apply(offset, 1_700_000_000_000, steps);
                 }
-                let asker = Claimant { incarnation: "x".to_owned(), call: 1 };
+                let claimant = Claimant { incarnation: "x".to_owned(), call: 1 };
                 for steps in &steps {
-                    drop(black_box(table.standing(&steps[0].key, "h", &asker)));
+                    drop(black_box(table.standing(&steps[0].key, "h", &claimant)));
                 }
             });
             drop(black_box(table));
@@ -359,7 +360,7 @@
     }
 }
 
-/// Views of `n` instances that all know each other and have told each other so.
+/// Views of `n` instances that have exchanged digests until none has anything new.
 pub fn settled_views(n: usize) -> Vec<View> {
     let mut views: Vec<View> = (0..n).map(|it| View::new(member(it), 0)).collect();
     let all = Digest {
@@ -379,21 +380,22 @@
     views
 }
 
-/// One round in which every instance exchanges digests with its neighbours: whether anything was
-/// new, and the bytes of all digests.
+/// Exchanges digests between every instance and its neighbours once.
+///
+/// Returns whether any view changed, and the bytes of all digests.
 fn exchange(views: &mut [View]) -> (bool, usize) {
-    let places: HashMap<String, usize> =
+    let indices: HashMap<String, usize> =
         views.iter().enumerate().map(|(index, it)| (it.me().peers.clone(), index)).collect();
     let (mut is_new, mut bytes) = (false, 0);
     for index in 0..views.len() {
         for peer in views[index].neighbours(false) {
-            let place = places[&peer];
+            let peer_index = indices[&peer];
             let me = views[index].me().incarnation.clone();
-            let them = views[place].me().incarnation.clone();
+            let them = views[peer_index].me().incarnation.clone();
             let call = views[index].digest_for(Some(&them), 2, Some(100));
             bytes += cbor_bytes(&call);
-            is_new |= views[place].merge(&call, 1);
-            let answer = views[place].digest_for(Some(&me), 2, Some(100));
+            is_new |= views[peer_index].merge(&call, 1);
+            let answer = views[peer_index].digest_for(Some(&me), 2, Some(100));
             bytes += cbor_bytes(&answer);
             is_new |= views[index].merge(&answer, 1);
         }
@@ -406,17 +408,17 @@
     Pin::new(&mut codec).serialize(digest).map_or(0, |it| it.len())
 }
 
-/// What a change costs in digests: bytes an instance sends and receives until every instance
-/// knows that all have it, and rounds until then.
+/// Cost of acknowledging one change: bytes that an instance sends and receives on top of quiet
+/// rounds until every instance knows that all have applied it, and the rounds until then.
 pub fn acknowledged(n: usize) -> (f64, usize) {
     let mut views = settled_views(n);
-    let quiet = exchange(&mut views).1;
+    let idle_bytes = exchange(&mut views).1;
     for view in &mut views {
         view.set_me(Phase::Ready, 2, 2);
     }
     let (mut total, mut rounds) = (0, 0);
     while views.iter().any(|it| !it.missing(2).is_empty()) {
-        total += exchange(&mut views).1 - quiet;
+        total += exchange(&mut views).1 - idle_bytes;
         rounds += 1;
     }
     // Each digest is sent by one instance and received by another.
@@ -430,7 +432,7 @@
         fit("membership view, bytes", by, &sizes, |n| {
             let before = allocated();
             let views = settled_views(1);
-            let mut view = views.into_iter().next().expect("one view was made");
+            let mut view = views.into_iter().next().expect("there is one view");
             let all = Digest {
                 from: "x".to_owned(),
                 head: 1,
--- a/crates/holdpoint-emulator/src/faults.rs
+++ b/crates/holdpoint-emulator/src/faults.rs
@@ -1,4 +1,5 @@
-//! The fault matrix: each fault alone and in pairs, under load, at the moments that hurt most.
+//! The fault matrix: injects each fault alone, and selected faults in pairs, into a system under
+//! load, checks every answer and measures the time to recover.
 
 use std::time::{Duration, Instant};
 
@@ -14,26 +15,26 @@
     world::{Plan, World},
 };
 
-/// Callers at once in one cell.
+/// Concurrent callers in one cell.
 const CALLERS: usize = 16;
-/// When faults begin, after the load has.
-const BEGIN: Duration = Duration::from_millis(200);
-/// How long faults last.
-const LAST: Duration = Duration::from_millis(800);
-/// How long recovery is waited for.
-const RECOVERY: Duration = Duration::from_secs(15);
+/// Delay from the start of the load to the start of the faults.
+const FAULT_START: Duration = Duration::from_millis(200);
+/// Duration of the faults.
+const FAULT_DURATION: Duration = Duration::from_millis(800);
+/// Maximum time to wait for recovery.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// One fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing fails.
+    /// No fault.
     None,
-    /// One stage of each user is slow: rerankers and services take 100 ms more.
+    /// All targets except models and encoders take 100 ms more.
     SlowStage,
     /// A fifth of the calls are refused by their target before they run.
     TargetErrors,
-    /// A tenth of the calls run and lose their answer: between effect and first byte.
+    /// A tenth of the calls run, but their answer is lost before its first byte.
     LostAnswers,
     /// A twentieth of the calls hang.
     Hangs,
@@ -45,31 +46,31 @@
     CutEnds,
     /// Chunks are repeated and swapped.
     MixedChunks,
-    /// A twentieth of the answers belong to another attempt.
+    /// A twentieth of the answers carry the data of another attempt.
     CrossedAnswers,
-    /// One target of each pool starts to leave.
+    /// One target of each pool drains.
     Leaving,
-    /// An instance dies with work in flight and another takes its place.
+    /// An instance crashes with requests in flight and is replaced.
     Crash,
-    /// An instance is stopped as planned and another takes its place.
+    /// An instance is drained, stopped and replaced.
     PlannedStop,
-    /// The log is down.
+    /// The log is unavailable.
     LogOutage,
-    /// The log takes 150 ms a call.
+    /// The log takes 150 ms per call.
     LogSlow,
-    /// Appends to the log take effect and lose their answer.
+    /// Appends to the log take effect, but their answers are lost.
     LogLostAnswers,
-    /// The instance list is frozen.
+    /// The instance list no longer changes.
     StaleList,
-    /// Nothing reaches one instance from its peers, though it reaches them.
+    /// Calls of peers to one instance are lost; its calls to them are not.
     OneWayLoss,
-    /// Operators race on one resource at all instances.
+    /// Operators change one resource at all instances concurrently.
     Race,
-    /// Three times as many callers come at once.
+    /// Three times as many concurrent callers.
     Burst,
 }
 
-/// Faults that are tried alone.
+/// Faults that are injected alone.
 pub const SINGLES: [Fault; 20] = [
     Fault::None,
     Fault::SlowStage,
@@ -93,7 +94,7 @@
     Fault::Burst,
 ];
 
-/// Faults that are tried in every pair.
+/// Faults that are injected in every pair.
 pub const PAIRED: [Fault; 9] = [
     Fault::LostAnswers,
     Fault::Hangs,
@@ -113,16 +114,16 @@
     pub faults: Vec<Fault>,
     /// Seed.
     pub seed: u64,
-    /// What callers were told, held against what ran.
+    /// Answers to callers, compared with the calls that ran.
     pub verdicts: Verdicts,
-    /// Time from the end of the faults until a hold, a stream and a lookup are answered whole, in
-    /// milliseconds; `None` where that did not come about.
+    /// Time from the end of the faults until a hold, a stream and a lookup have whole answers, in
+    /// milliseconds; `None` after a timeout.
     pub recovery_ms: Option<u64>,
-    /// What was told in each request that broke a promise.
+    /// Answer of each request that violated a guarantee.
     pub details: Vec<String>,
 }
 
-/// All cells: each fault alone, then each pair.
+/// Faults of all cells: each fault alone, then each pair.
 pub fn cells() -> Vec<Vec<Fault>> {
     let mut cells: Vec<Vec<Fault>> = SINGLES.iter().map(|it| vec![*it]).collect();
     for (index, first) in PAIRED.iter().enumerate() {
@@ -131,29 +132,29 @@
     cells
 }
 
-/// Runs one cell on a system of its own.
+/// Runs one cell on a new system.
 pub async fn run(faults: &[Fault], requests: usize, seed: u64) -> Cell {
     let plan = Plan::new(3).with_seed(seed).with_relays();
     let world = World::start(&plan).await;
     let callers = if faults.contains(&Fault::Burst) { 3 * CALLERS } else { CALLERS };
     let mix = Mix::new(requests, callers).with_seed(seed).with_pause(Duration::from_millis(20));
-    let (tally, recovery_ms) = tokio::join!(load::run(&world, &mix), happen(&world, faults));
+    let (tally, recovery_ms) = tokio::join!(load::run(&world, &mix), inject(&world, faults));
     let (verdicts, details) = (tally.total(), tally.details);
     Cell { faults: faults.to_vec(), seed, verdicts, recovery_ms, details }
 }
 
-/// Brings the faults about, ends them, and waits for recovery.
-async fn happen(world: &World, faults: &[Fault]) -> Option<u64> {
-    tokio::time::sleep(BEGIN).await;
+/// Injects the faults, clears them, and waits for recovery.
+async fn inject(world: &World, faults: &[Fault]) -> Option<u64> {
+    tokio::time::sleep(FAULT_START).await;
     for fault in faults {
-        begin(world, *fault).await;
+        start_fault(world, *fault).await;
     }
-    tokio::time::sleep(LAST).await;
-    end(world);
-    recovery(world).await
+    tokio::time::sleep(FAULT_DURATION).await;
+    clear_faults(world);
+    measure_recovery(world).await
 }
 
-async fn begin(world: &World, fault: Fault) {
+async fn start_fault(world: &World, fault: Fault) {
     let all = |change: &dyn Fn(&mut TargetFaults)| {
         world.targets.iter().for_each(|it| change(&mut it.1.faults()));
     };
@@ -168,7 +169,7 @@
         Fault::TargetErrors => all(&|it| it.error = 200),
         Fault::LostAnswers => all(&|it| it.lose_answer = 100),
         Fault::Hangs => all(&|it| it.hang = 50),
-        Fault::DeadTargets => first_of_each_pool(world, |it| it.stop()),
+        Fault::DeadTargets => for_first_targets(world, |it| it.stop()),
         Fault::CutStreams => all(&|it| it.cut = 300),
         Fault::CutEnds => all(&|it| it.cut_end = 300),
         Fault::MixedChunks => all(&|it| {
@@ -176,7 +177,7 @@
             it.reorder = 300;
         }),
         Fault::CrossedAnswers => all(&|it| it.cross = 50),
-        Fault::Leaving => first_of_each_pool(world, |it| {
+        Fault::Leaving => for_first_targets(world, |it| {
             it.faults().leaving = true;
             world.list.leave_target(it.address());
         }),
@@ -186,7 +187,7 @@
             world.start_instance("entry-4").await;
         }
         Fault::PlannedStop => {
-            // The last instance started: with a crash in the same cell, still a live one.
+            // A crash in the same cell stops the instance at index 1, so index 0 is running.
             world.stop(0).await;
             world.start_instance("entry-5").await;
         }
@@ -194,12 +195,12 @@
         Fault::LogSlow => world.log.faults().delay = Duration::from_millis(150),
         Fault::LogLostAnswers => world.log.faults().lose_answers = 30,
         Fault::StaleList => world.list.set_stale(true),
-        Fault::OneWayLoss => world.lose(2, true, false),
+        Fault::OneWayLoss => world.drop_traffic(2, true, false),
         Fault::Race => race(world).await,
     }
 }
 
-fn first_of_each_pool(world: &World, change: impl Fn(&holdpoint_standin::target::TargetStandin)) {
+fn for_first_targets(world: &World, change: impl Fn(&holdpoint_standin::target::TargetStandin)) {
     let mut last = "";
     for (pool, target) in &world.targets {
         if pool != last {
@@ -209,17 +210,17 @@
     }
 }
 
-fn end(world: &World) {
+fn clear_faults(world: &World) {
     for (_, target) in &world.targets {
         let leaving = target.faults().leaving;
         *target.faults() = TargetFaults { leaving, ..TargetFaults::default() };
     }
     *world.log.faults() = holdpoint_standin::log::LogFaults::default();
     world.list.set_stale(false);
-    (0..world.len()).for_each(|it| world.lose(it, false, false));
+    (0..world.len()).for_each(|it| world.drop_traffic(it, false, false));
 }
 
-/// Operators change one resource at every instance against the same version.
+/// Changes one resource at every instance concurrently, against the same version.
 async fn race(world: &World) {
     let form = ChangeForm { base: Some(1), change: None };
     for percent in 0..5 {
@@ -230,12 +231,12 @@
         });
         let states = futures::future::join_all(changes).await;
         let accepted = states.into_iter().flatten().filter(|it| it.state.to_string() == "accepted");
-        assert!(accepted.count() <= 1, "one version can be replaced once only");
+        assert!(accepted.count() <= 1, "at most one change against a version is accepted");
     }
 }
 
-/// Time until a hold, a stream and a lookup are answered whole.
-async fn recovery(world: &World) -> Option<u64> {
+/// Time until a hold, a stream and a lookup have whole answers, in milliseconds.
+async fn measure_recovery(world: &World) -> Option<u64> {
     let began = Instant::now();
     for (pipeline, bearer, keyed, streamed) in [
         ("stock-hold", "demo-saskatoon-shops", true, false),
@@ -243,19 +244,19 @@
         ("lamp-status", "demo-rennes-commune", false, false),
     ] {
         loop {
-            if RECOVERY < began.elapsed() {
+            if RECOVERY_TIMEOUT < began.elapsed() {
                 return None;
             }
             let request = Request {
                 pipeline: pipeline.to_owned(),
                 bearer: bearer.to_owned(),
                 input: json!({ "marker": "recovery", "text": "again" }),
-                patience: Duration::from_secs(2),
+                timeout: Duration::from_secs(2),
                 key: keyed.then(|| Uuid::now_v7().to_string()),
                 streamed,
             };
-            let told = caller::request(&world.http, &instances(world), 0, &request).await;
-            if told.is_whole() {
+            let reply = caller::request(&world.http, &instances(world), 0, &request).await;
+            if reply.is_whole() {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/holdpoint-emulator/src/lib.rs
+++ b/crates/holdpoint-emulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Whole systems in one process: stand-ins for the platform and the targets, instances of the
-//! daemon before them, callers who check every answer, and experiments on all of it.
+//! Runs a whole system in one process: stand-ins for the platform and the targets, instances of
+//! the daemon, and callers that check every answer. Also holds the experiments on such systems.
 //!
 //! ```no_run
 //! use holdpoint_emulator::{load, world::{Plan, World}};
--- a/crates/holdpoint-emulator/src/load.rs
+++ b/crates/holdpoint-emulator/src/load.rs
@@ -1,4 +1,4 @@
-//! A mixed load whose every answer is held against what the targets truly ran.
+//! A mixed load of requests. Every answer is compared with the calls that the targets ran.
 
 use std::{
     collections::BTreeMap,
@@ -17,7 +17,7 @@
 use uuid::Uuid;
 
 use crate::{
-    caller::{self, Request, Told},
+    caller::{self, Reply, Request},
     measure,
     world::World,
 };
@@ -27,18 +27,18 @@
 pub struct Kind {
     /// Pipeline.
     pub pipeline: &'static str,
-    /// Caller key.
+    /// Bearer token of the caller.
     pub bearer: &'static str,
-    /// Pool whose runs count as running the request.
+    /// Pool whose calls count as runs of the request.
     pub pool: &'static str,
-    /// Whether its call may not be repeated.
+    /// Whether it carries an idempotency key: its call may run only once.
     pub is_keyed: bool,
-    /// Whether its answer is read as a stream.
+    /// Whether the answer is read as a stream.
     pub streamed: bool,
-    /// Chunks of a whole generation; 0 where nothing is generated.
+    /// Chunks of a complete generation; 0 if nothing is generated.
     pub chunks: u64,
-    /// Patience, in milliseconds.
-    pub patience_ms: u64,
+    /// Time in which the caller expects the answer, in milliseconds.
+    pub timeout_ms: u64,
     /// Relative frequency.
     pub weight: u32,
 }
@@ -48,11 +48,11 @@
     bearer: &'static str,
     pool: &'static str,
     chunks: u64,
-    patience_ms: u64,
+    timeout_ms: u64,
     weight: u32,
 ) -> Kind {
     let (is_keyed, streamed) = (false, 0 < chunks);
-    Kind { pipeline, bearer, pool, is_keyed, streamed, chunks, patience_ms, weight }
+    Kind { pipeline, bearer, pool, is_keyed, streamed, chunks, timeout_ms, weight }
 }
 
 const fn keyed(it: Kind) -> Kind {
@@ -76,31 +76,31 @@
 /// A bounded mix of requests.
 #[derive(Clone, Debug)]
 pub struct Mix {
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: usize,
-    /// Requests in flight at once.
+    /// Concurrent requests.
     pub callers: usize,
     /// Kinds that requests are drawn from.
     pub kinds: Vec<Kind>,
     /// Seed of the draw.
     pub seed: u64,
-    /// Part, of a hundred, of the keyed calls that are made again after their answer.
-    pub repeats: u32,
-    /// Added to every patience.
+    /// Percentage of keyed calls that are repeated after a whole answer.
+    pub repeat_percent: u32,
+    /// Added to every request's timeout.
     pub extra: Duration,
-    /// Pause of each caller between two requests.
+    /// Pause of each caller after a request.
     pub pause: Duration,
 }
 
 impl Mix {
-    /// Makes a mix of all kinds.
+    /// Creates a mix of all kinds.
     pub fn new(requests: usize, callers: usize) -> Mix {
         Mix {
             requests,
             callers,
             kinds: KINDS.to_vec(),
             seed: 1,
-            repeats: 10,
+            repeat_percent: 10,
             extra: Duration::ZERO,
             pause: Duration::ZERO,
         }
@@ -112,53 +112,53 @@
         self
     }
 
-    /// Keeps only the kinds that a condition holds for.
+    /// Keeps only the kinds for which `is_kept` returns true.
     pub fn with_kinds(mut self, is_kept: impl Fn(&Kind) -> bool) -> Mix {
         self.kinds.retain(is_kept);
         self
     }
 
-    /// Sets the pause of each caller between two requests.
+    /// Sets the pause of each caller after a request.
     pub fn with_pause(mut self, pause: Duration) -> Mix {
         self.pause = pause;
         self
     }
 }
 
-/// What callers were told, held against what ran.
+/// Counts of answers, compared with the calls that ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdicts {
-    /// Requests made.
+    /// Requests sent.
     pub requests: u64,
-    /// Answered once, whole and in time.
+    /// Whole answers in time.
     pub attained: u64,
-    /// Answered whole, but late.
+    /// Whole answers after the timeout.
     pub late: u64,
-    /// Told "not run", and truly not run.
+    /// Reported as not run or never sent, and not run.
     pub not_run: u64,
-    /// Told that it is not known, or that a stage failed after it was sent.
+    /// Reported as run or as unknown, or keyed and without an answer.
     pub unknown: u64,
-    /// Told "not run", but run.
+    /// Reported as not run, but run.
     pub false_not_run: u64,
-    /// Calls that may not be repeated, run more than once.
+    /// Keyed calls that ran more than once.
     pub doubled: u64,
-    /// Requests with no understandable answer, or told whole but never run or not whole.
+    /// Requests without a valid answer, or answered as whole but never run or incomplete.
     pub lost: u64,
-    /// Answers that hold another request's data.
+    /// Answers with another request's data, and repeats with another output.
     pub crossed: u64,
-    /// Repeated calls that were answered from the record.
+    /// Repeated calls answered from the record.
     pub replayed: u64,
     /// Problems by kind.
     pub problems: BTreeMap<String, u64>,
 }
 
 impl Verdicts {
-    /// Number of broken promises.
+    /// Number of violated guarantees.
     pub fn broken(&self) -> u64 {
         self.false_not_run + self.doubled + self.lost + self.crossed
     }
 
-    /// Adds others.
+    /// Adds the counts of another.
     pub fn add(&mut self, other: &Verdicts) {
         self.requests += other.requests;
         self.attained += other.attained;
@@ -183,10 +183,10 @@
     pub verdicts: BTreeMap<String, Verdicts>,
     /// Times of whole answers by pipeline, in microseconds.
     pub times: BTreeMap<String, Histogram<u64>>,
-    /// What was told in each request that broke a promise.
+    /// Answer of each request that violated a guarantee.
     pub details: Vec<String>,
-    /// Time that the whole load took.
-    pub took: Duration,
+    /// Duration of the load.
+    pub elapsed: Duration,
 }
 
 impl Tally {
@@ -197,143 +197,147 @@
         total
     }
 
-    /// Number of broken promises.
+    /// Number of violated guarantees.
     pub fn broken(&self) -> u64 {
         self.total().broken()
     }
 }
 
-/// A request made and what came of it.
-struct Made {
+/// A request and its result.
+struct Exchange {
     kind: Kind,
     marker: String,
-    told: Told,
-    took: Duration,
+    reply: Reply,
+    elapsed: Duration,
     replayed: bool,
-    is_repeat_wrong: bool,
+    is_mismatched: bool,
 }
 
-/// Addresses of all instances: where a balancer would send callers.
+/// Addresses of all instances for callers, including those that have ended.
 pub fn instances(world: &World) -> Vec<String> {
     (0..world.len()).map(|it| world.callers(it)).collect()
 }
 
-/// Runs a mix against a system and judges every answer.
+/// Runs a mix against a system and checks every answer.
 pub async fn run(world: &World, mix: &Mix) -> Tally {
     let started = Instant::now();
     let mut rng = ChaCha8Rng::seed_from_u64(mix.seed);
     let draws: Vec<(Kind, bool)> = (0..mix.requests)
-        .map(|_| (draw(&mix.kinds, &mut rng), rng.random_range(0..100) < mix.repeats))
+        .map(|_| (draw(&mix.kinds, &mut rng), rng.random_range(0..100) < mix.repeat_percent))
         .collect();
-    let made: Vec<Made> = stream::iter(draws.into_iter().enumerate())
+    let exchanges: Vec<Exchange> = stream::iter(draws.into_iter().enumerate())
         .map(|(index, (kind, repeat))| async move {
-            // Instances may have been replaced since the last request.
-            let made = one(&world.http, &instances(world), index, kind, mix, repeat).await;
+            // Read the addresses each time: instances may have been replaced.
+            let exchange = run_one(&world.http, &instances(world), index, kind, mix, repeat).await;
             tokio::time::sleep(mix.pause).await;
-            made
+            exchange
         })
         .buffer_unordered(mix.callers)
         .collect()
         .await;
-    let took = started.elapsed();
-    // What a target still runs for a caller who has been answered must be counted, too.
+    let elapsed = started.elapsed();
+    // Targets may still run calls whose callers have been answered; these count as well.
     tokio::time::sleep(Duration::from_millis(100)).await;
-    judge(&made, &world.tally, took)
+    judge(&exchanges, &world.tally, elapsed)
 }
 
 fn draw(kinds: &[Kind], rng: &mut ChaCha8Rng) -> Kind {
     let total: u32 = kinds.iter().map(|it| it.weight).sum();
-    let mut place = rng.random_range(0..total);
+    let mut offset = rng.random_range(0..total);
     for kind in kinds {
-        if place < kind.weight {
+        if offset < kind.weight {
             return *kind;
         }
-        place -= kind.weight;
+        offset -= kind.weight;
     }
     kinds[0]
 }
 
-async fn one(
+async fn run_one(
     http: &Http,
     instances: &[String],
     index: usize,
     kind: Kind,
     mix: &Mix,
     repeat: bool,
-) -> Made {
+) -> Exchange {
     let marker = format!("m{}-{index}", mix.seed);
     let request = Request {
         pipeline: kind.pipeline.to_owned(),
         bearer: kind.bearer.to_owned(),
         input: json!({ "marker": marker, "text": "a question of the usual length" }),
-        patience: Duration::from_millis(kind.patience_ms) + mix.extra,
+        timeout: Duration::from_millis(kind.timeout_ms) + mix.extra,
         key: kind.is_keyed.then(|| Uuid::now_v7().to_string()),
         streamed: kind.streamed,
     };
     let started = Instant::now();
-    let told = caller::request(http, instances, index, &request).await;
-    let took = started.elapsed();
+    let reply = caller::request(http, instances, index, &request).await;
+    let elapsed = started.elapsed();
     let mut replayed = false;
-    let mut is_repeat_wrong = false;
-    if repeat && kind.is_keyed && told.is_whole() {
+    let mut is_mismatched = false;
+    if repeat && kind.is_keyed && reply.is_whole() {
         let again = caller::request(http, instances, index + 1, &request).await;
-        replayed = matches!(again, Told::Whole { replayed: true, .. });
-        // A repeat gets the same answer, or is told that it cannot be known; never another one.
-        is_repeat_wrong = match (&told, &again) {
-            (Told::Whole { answer: a, .. }, Told::Whole { answer: b, .. }) => a.output != b.output,
+        replayed = matches!(again, Reply::Whole { replayed: true, .. });
+        // A repeat must not return a different output; a problem is allowed.
+        is_mismatched = match (&reply, &again) {
+            (Reply::Whole { answer: a, .. }, Reply::Whole { answer: b, .. }) => {
+                a.output != b.output
+            }
             _ => false,
         };
     }
-    Made { kind, marker, told, took, replayed, is_repeat_wrong }
+    Exchange { kind, marker, reply, elapsed, replayed, is_mismatched }
 }
 
-fn judge(made: &[Made], runs: &Runs, took: Duration) -> Tally {
+fn judge(exchanges: &[Exchange], runs: &Runs, elapsed: Duration) -> Tally {
     let (verdicts, times) = (BTreeMap::new(), BTreeMap::new());
-    let mut tally = Tally { verdicts, times, details: Vec::new(), took };
-    for made in made {
-        let verdicts = tally.verdicts.entry(made.kind.pipeline.to_owned()).or_default();
+    let mut tally = Tally { verdicts, times, details: Vec::new(), elapsed };
+    for exchange in exchanges {
+        let verdicts = tally.verdicts.entry(exchange.kind.pipeline.to_owned()).or_default();
         let before = verdicts.broken();
-        judge_one(made, runs, verdicts);
+        judge_exchange(exchange, runs, verdicts);
         if before < verdicts.broken() {
-            let ran = runs.runs(made.kind.pool, &made.marker);
-            let (pipeline, told) = (made.kind.pipeline, &made.told);
-            tally.details.push(format!("{pipeline} {}: ran {ran}, told {told:?}", made.marker));
+            let ran = runs.runs(exchange.kind.pool, &exchange.marker);
+            let (pipeline, reply) = (exchange.kind.pipeline, &exchange.reply);
+            tally
+                .details
+                .push(format!("{pipeline} {}: ran {ran}, told {reply:?}", exchange.marker));
         }
-        if made.told.is_whole() {
-            let name = made.kind.pipeline.to_owned();
-            let times = tally.times.entry(name).or_insert_with(measure::times);
-            times.saturating_record(made.took.as_micros() as u64);
+        if exchange.reply.is_whole() {
+            let name = exchange.kind.pipeline.to_owned();
+            let times = tally.times.entry(name).or_insert_with(measure::new_histogram);
+            times.saturating_record(exchange.elapsed.as_micros() as u64);
         }
     }
     tally
 }
 
-fn judge_one(made: &Made, runs: &Runs, verdicts: &mut Verdicts) {
-    let ran = runs.runs(made.kind.pool, &made.marker);
+fn judge_exchange(exchange: &Exchange, runs: &Runs, verdicts: &mut Verdicts) {
+    let ran = runs.runs(exchange.kind.pool, &exchange.marker);
     verdicts.requests += 1;
-    verdicts.replayed += u64::from(made.replayed);
-    verdicts.crossed += u64::from(made.is_repeat_wrong);
-    if made.kind.is_keyed && 1 < ran {
+    verdicts.replayed += u64::from(exchange.replayed);
+    verdicts.crossed += u64::from(exchange.is_mismatched);
+    if exchange.kind.is_keyed && 1 < ran {
         verdicts.doubled += 1;
     }
-    match &made.told {
-        Told::Whole { answer, text, .. } => {
+    match &exchange.reply {
+        Reply::Whole { answer, text, .. } => {
             let found = match text {
                 Some(it) => text_markers(it),
                 None => markers(&answer.output),
             };
-            if found.iter().any(|it| *it != made.marker) {
+            if found.iter().any(|it| *it != exchange.marker) {
                 verdicts.crossed += 1;
-            } else if ran == 0 || found.is_empty() || !is_complete(made, text.as_deref()) {
+            } else if ran == 0 || found.is_empty() || !is_complete(exchange, text.as_deref()) {
                 verdicts.lost += 1;
-            } else if made.took <= Duration::from_millis(made.kind.patience_ms) {
+            } else if exchange.elapsed <= Duration::from_millis(exchange.kind.timeout_ms) {
                 verdicts.attained += 1;
             } else {
                 verdicts.late += 1;
             }
         }
-        Told::Problem(problem) => {
-            let name = made.told.problem_kind().unwrap_or("other").to_owned();
+        Reply::Problem(problem) => {
+            let name = exchange.reply.problem_kind().unwrap_or("other").to_owned();
             *verdicts.problems.entry(name).or_default() += 1;
             match (problem.run, ran) {
                 (Run::No, 0) => verdicts.not_run += 1,
@@ -341,18 +345,19 @@
                 (Run::Yes | Run::Unknown, _) => verdicts.unknown += 1,
             }
         }
-        // A connection that was refused by every instance is a request that was not run.
-        Told::Silence(it) if it.is_never_sent() && ran == 0 => verdicts.not_run += 1,
-        Told::Silence(_) if made.kind.is_keyed => verdicts.unknown += 1,
-        Told::Silence(_) => verdicts.lost += 1,
+        // A request that was never sent was not run.
+        Reply::Silence(it) if it.is_never_sent() && ran == 0 => verdicts.not_run += 1,
+        Reply::Silence(_) if exchange.kind.is_keyed => verdicts.unknown += 1,
+        Reply::Silence(_) => verdicts.lost += 1,
     }
 }
 
-/// Whether a generation has every chunk once and in order.
-fn is_complete(made: &Made, text: Option<&str>) -> bool {
+/// Whether a generation has every chunk exactly once and in order.
+fn is_complete(exchange: &Exchange, text: Option<&str>) -> bool {
     let Some(text) = text else { return true };
-    let wanted: String = (0..made.kind.chunks).map(|it| format!("{}/{it} ", made.marker)).collect();
-    text == wanted
+    let expected: String =
+        (0..exchange.kind.chunks).map(|it| format!("{}/{it} ", exchange.marker)).collect();
+    text == expected
 }
 
 fn text_markers(text: &str) -> Vec<String> {
--- a/crates/holdpoint-emulator/src/measure.rs
+++ b/crates/holdpoint-emulator/src/measure.rs
@@ -1,14 +1,14 @@
-//! What this process spends, as the system counts it.
+//! Resource counters of this process, read from `/proc`, and latency histograms.
 
 use std::{fs, time::Duration};
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Upper bound of the latency histograms; longer times are recorded as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Processor time of the threads of one name so far.
-pub fn thread_time(name: &str) -> Duration {
+/// Total CPU time of the threads with a name.
+pub fn thread_cpu_time(name: &str) -> Duration {
     let tasks = fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
     let nanos: u64 = tasks
         .filter(|it| {
@@ -21,7 +21,7 @@
     Duration::from_nanos(nanos)
 }
 
-/// Bytes that have crossed the loopback interface so far.
+/// Total bytes received on the loopback interface; 0 if not available.
 pub fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find(|it| it.trim_start().starts_with("lo:")).unwrap_or_default();
@@ -29,7 +29,7 @@
     numbers.split_whitespace().next().and_then(|it| it.parse().ok()).unwrap_or(0)
 }
 
-/// Resident memory of this process, in bytes.
+/// Resident memory of this process, in bytes; 0 if not available.
 pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|it| it.starts_with("VmRSS:")).unwrap_or_default();
@@ -37,9 +37,9 @@
     kib.unwrap_or(0) * 1024
 }
 
-/// Makes a histogram of times in microseconds.
-pub fn times() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, 3).expect("the bounds are constants")
+/// Creates a histogram of times in microseconds.
+pub fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are constants")
 }
 
 /// A quantile of a histogram of microseconds, in milliseconds.
--- a/crates/holdpoint-emulator/src/overhead.rs
+++ b/crates/holdpoint-emulator/src/overhead.rs
@@ -1,4 +1,5 @@
-//! Calls through one instance against the same calls straight to the target.
+//! Measures the overhead of an instance: calls through it against the same calls sent directly to
+//! the targets.
 
 use std::time::{Duration, Instant};
 
@@ -10,42 +11,42 @@
 
 use crate::{
     load,
-    measure::{loopback_bytes, quantile_ms, thread_time, times},
+    measure::{loopback_bytes, new_histogram, quantile_ms, thread_cpu_time},
     world::World,
 };
 
-/// Callers at once in each measurement.
+/// Concurrent callers in each measurement.
 pub const CALLERS: [usize; 3] = [1, 16, 128];
 
 /// One measurement, direct and through an instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Straight to the target.
-    pub direct: Side,
-    /// Through an instance.
-    pub through: Side,
-    /// Processor time of the instance's threads a request, in microseconds.
+    /// Calls sent directly to the targets.
+    pub direct: Measurement,
+    /// Calls sent through an instance.
+    pub through: Measurement,
+    /// CPU time of the instance's threads per request, in microseconds.
     pub cpu_us: f64,
 }
 
-/// One side of a measurement.
+/// Latency, throughput and bytes of one series of calls.
 #[derive(Clone, Debug, Serialize)]
-pub struct Side {
+pub struct Measurement {
     /// Median time, in milliseconds.
     pub p50_ms: f64,
-    /// Time of the slowest of a hundred, in milliseconds.
+    /// 99th percentile of the time, in milliseconds.
     pub p99_ms: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Bytes on the loopback interface a request, all hops and headers counted.
+    /// Bytes on the loopback interface per request, including all hops and headers.
     pub bytes: f64,
-    /// Requests that were not answered with success.
+    /// Requests without a successful answer.
     pub failed: u64,
 }
 
-/// Measures a plain lookup at each number of callers.
+/// Measures a lookup with each number of callers.
 pub async fn run(world: &World, requests: usize) -> Vec<Row> {
     let targets = world.pool("till-stock").iter().map(|it| it.address().to_owned()).collect();
     let instances = vec![world.callers(0)];
@@ -61,59 +62,59 @@
     };
     let mut rows = Vec::new();
     for callers in CALLERS {
-        // Connections are made and code paths warmed before anything is counted.
-        side(world, &direct, callers, requests / 10).await;
-        side(world, &through, callers, requests / 10).await;
-        let straight = side(world, &direct, callers, requests).await;
-        let before = thread_time("traffic") + thread_time("control");
-        let by_instance = side(world, &through, callers, requests).await;
-        let spent = thread_time("traffic") + thread_time("control") - before;
-        let cpu_us = spent.as_secs_f64() * 1e6 / requests as f64;
-        rows.push(Row { callers, direct: straight, through: by_instance, cpu_us });
+        // Warm up connections and code paths before the measurement.
+        measure(world, &direct, callers, requests / 10).await;
+        measure(world, &through, callers, requests / 10).await;
+        let direct_result = measure(world, &direct, callers, requests).await;
+        let before = thread_cpu_time("traffic") + thread_cpu_time("control");
+        let through_result = measure(world, &through, callers, requests).await;
+        let cpu_time = thread_cpu_time("traffic") + thread_cpu_time("control") - before;
+        let cpu_us = cpu_time.as_secs_f64() * 1e6 / requests as f64;
+        rows.push(Row { callers, direct: direct_result, through: through_result, cpu_us });
     }
     rows
 }
 
-/// Processor time of the instance's threads for each streamed chunk, in microseconds.
+/// CPU time of the instance's threads per streamed chunk, in microseconds.
 pub async fn chunk_cpu_us(world: &World, requests: usize) -> f64 {
     let kinds = |it: &load::Kind| it.pipeline == "tasting-notes";
     let mix = load::Mix::new(requests, 16).with_kinds(kinds);
     load::run(world, &mix).await;
-    let before = thread_time("traffic") + thread_time("control");
+    let before = thread_cpu_time("traffic") + thread_cpu_time("control");
     let tally = load::run(world, &mix.with_seed(2)).await;
-    let spent = thread_time("traffic") + thread_time("control") - before;
+    let cpu_time = thread_cpu_time("traffic") + thread_cpu_time("control") - before;
     let chunks = tally.total().attained * load::KINDS[0].chunks;
-    spent.as_secs_f64() * 1e6 / chunks.max(1) as f64
+    cpu_time.as_secs_f64() * 1e6 / chunks.max(1) as f64
 }
 
 struct Call {
-    /// Addresses that are called in turn.
+    /// Addresses, called round-robin.
     addresses: Vec<String>,
     path: &'static str,
     body: String,
 }
 
-async fn side(world: &World, call: &Call, callers: usize, requests: usize) -> Side {
+async fn measure(world: &World, call: &Call, callers: usize, requests: usize) -> Measurement {
     let started = Instant::now();
     let bytes = loopback_bytes();
-    let made: Vec<(Duration, bool)> = stream::iter(0..requests)
-        .map(|index| one(world, call, index))
+    let results: Vec<(Duration, bool)> = stream::iter(0..requests)
+        .map(|index| call_once(world, call, index))
         .buffer_unordered(callers)
         .collect()
         .await;
-    let took = started.elapsed().as_secs_f64();
-    let mut histogram: Histogram<u64> = times();
-    made.iter().for_each(|it| histogram.saturating_record(it.0.as_micros() as u64));
-    Side {
+    let elapsed = started.elapsed().as_secs_f64();
+    let mut histogram: Histogram<u64> = new_histogram();
+    results.iter().for_each(|it| histogram.saturating_record(it.0.as_micros() as u64));
+    Measurement {
         p50_ms: quantile_ms(&histogram, 0.5),
         p99_ms: quantile_ms(&histogram, 0.99),
-        rate: requests as f64 / took,
+        rate: requests as f64 / elapsed,
         bytes: (loopback_bytes() - bytes) as f64 / requests as f64,
-        failed: made.iter().filter(|it| !it.1).count() as u64,
+        failed: results.iter().filter(|it| !it.1).count() as u64,
     }
 }
 
-async fn one(world: &World, call: &Call, index: usize) -> (Duration, bool) {
+async fn call_once(world: &World, call: &Call, index: usize) -> (Duration, bool) {
     let headers = [
         ("authorization", "Bearer demo-calgary-shops".to_owned()),
         ("x-request-id", "bench:1:0:0".to_owned()),
--- a/crates/holdpoint-emulator/src/plot.rs
+++ b/crates/holdpoint-emulator/src/plot.rs
@@ -13,7 +13,7 @@
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 480);
 
-/// Colours of series, told apart also by those who see red and green alike.
+/// Colours of series, distinguishable with red-green colour blindness.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
--- a/crates/holdpoint-emulator/src/running.rs
+++ b/crates/holdpoint-emulator/src/running.rs
@@ -1,4 +1,4 @@
-//! What running instances spend by themselves, and how long a new one takes to start.
+//! Measures the resource use of idle instances and the start-up time of a new one.
 
 use std::time::{Duration, Instant};
 
@@ -10,30 +10,30 @@
 
 use crate::{
     control,
-    measure::{resident_bytes, thread_time},
+    measure::{resident_bytes, thread_cpu_time},
     world::{Plan, World},
 };
 
-/// What one instance spends while nothing is asked of it.
+/// Resource use of one instance that serves no requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct Idle {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Processor time of its control thread, as a percentage of a core.
+    /// CPU time of its control thread, as a percentage of a core.
     pub control_percent: f64,
-    /// Bytes a second to and from its peers, both ways.
+    /// Bytes per second sent to and received from its peers.
     pub peer_bytes: f64,
-    /// Heartbeats a second that it begins.
+    /// Heartbeats that it starts per second.
     pub heartbeats: f64,
-    /// Reads of the log a second.
+    /// Reads of the log per second.
     pub log_reads: f64,
-    /// Resident memory, in bytes: the growth of the process by one instance.
+    /// Resident memory in bytes: growth of the process per instance.
     pub memory: f64,
-    /// Median and worst time until a change is in force on all instances, in milliseconds.
+    /// Median and maximum time until a change is active on all instances, in milliseconds.
     pub in_force_ms: (f64, f64),
 }
 
-/// Runs instances with the settings of a real system and counts for `seconds`.
+/// Measures idle instances over `seconds`, with heartbeats and list polls once a second.
 pub async fn idle(instances: usize, seconds: u64) -> Idle {
     let timing = json!({ "timing": { "heartbeat_ms": 1000, "list_poll_ms": 1000 } });
     let plan = Plan::new(0).with_settings(timing);
@@ -43,25 +43,26 @@
     let memory = (resident_bytes().saturating_sub(before)) as f64 / instances as f64;
     world.apply(&resources).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let counted = |name: &str| -> f64 {
+    let metric_total = |name: &str| -> f64 {
         (0..instances)
             .filter_map(|it| world.shared(it))
             .map(|it| sum(&it.metrics.text(), name))
             .sum()
     };
     let began = Instant::now();
-    let (time, bytes) = (thread_time("control"), counted("holdpoint_peer_bytes_total"));
-    let beats = counted("holdpoint_heartbeats_total");
+    let (cpu_time, bytes) =
+        (thread_cpu_time("control"), metric_total("holdpoint_peer_bytes_total"));
+    let heartbeats = metric_total("holdpoint_heartbeats_total");
     let reads = world.log.counts().reads;
     tokio::time::sleep(Duration::from_secs(seconds)).await;
-    let took = began.elapsed().as_secs_f64() * instances as f64;
-    let spent = (thread_time("control") - time).as_secs_f64();
+    let instance_seconds = began.elapsed().as_secs_f64() * instances as f64;
+    let cpu_seconds = (thread_cpu_time("control") - cpu_time).as_secs_f64();
     let idle = Idle {
         instances,
-        control_percent: 100.0 * spent / took,
-        peer_bytes: (counted("holdpoint_peer_bytes_total") - bytes) / took,
-        heartbeats: (counted("holdpoint_heartbeats_total") - beats) / took,
-        log_reads: (world.log.counts().reads - reads) as f64 / took,
+        control_percent: 100.0 * cpu_seconds / instance_seconds,
+        peer_bytes: (metric_total("holdpoint_peer_bytes_total") - bytes) / instance_seconds,
+        heartbeats: (metric_total("holdpoint_heartbeats_total") - heartbeats) / instance_seconds,
+        log_reads: (world.log.counts().reads - reads) as f64 / instance_seconds,
         memory,
         in_force_ms: (0.0, 0.0),
     };
@@ -70,13 +71,13 @@
     Idle { in_force_ms: (times.median_ms, times.worst_ms), ..idle }
 }
 
-/// Sum of all lines of one metric.
+/// Sums the values of all metric lines that start with `name`.
 fn sum(text: &str, name: &str) -> f64 {
     let lines = text.lines().filter(|it| it.starts_with(name));
     lines.filter_map(|it| it.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-/// Time until a new instance is ready, in milliseconds, with so many records in the log.
+/// Time until a new instance is ready, in milliseconds, with `records` records in the log.
 pub async fn start_ms(records: usize) -> f64 {
     let world = World::start(&Plan { pools: Vec::new(), ..Plan::new(0) }).await;
     let client = LogClient::new(Http::new(), world.log.address(), Duration::from_secs(5));
@@ -92,10 +93,10 @@
             operator: "op".to_owned(),
         };
         let record = Record { writer: "w".to_owned(), seq, at: seq, body: Body::Change(change) };
-        client.append("control", &record).await.expect("the log takes records");
+        client.append("control", &record).await.expect("the log accepts records");
     }
     let began = Instant::now();
     world.start_instance("entry-1").await;
-    world.until("the instance is ready", |it| it.is_ready(0)).await;
+    world.wait_until("the instance is ready", |it| it.is_ready(0)).await;
     began.elapsed().as_secs_f64() * 1000.0
 }
--- a/crates/holdpoint-emulator/src/users.rs
+++ b/crates/holdpoint-emulator/src/users.rs
@@ -1,4 +1,4 @@
-//! The two users: their resources and the targets that stand before them.
+//! The two example users: their resources and their pools of targets.
 
 use std::time::Duration;
 
@@ -9,39 +9,39 @@
 const WINE: &str = include_str!("../../../examples/prairie-cellars-resources.jsonc");
 const LAMP: &str = include_str!("../../../examples/armor-resources.jsonc");
 
-/// Places of Prairie Cellars: its failure domains.
-pub const WINE_PLACES: [&str; 4] = ["winnipeg", "regina", "saskatoon", "calgary"];
-/// Places of Armor: its failure domains.
-pub const LAMP_PLACES: [&str; 4] = ["rennes", "brest", "vannes", "saint-brieuc"];
+/// Failure domains of Prairie Cellars.
+pub const WINE_DOMAINS: [&str; 4] = ["winnipeg", "regina", "saskatoon", "calgary"];
+/// Failure domains of Armor.
+pub const LAMP_DOMAINS: [&str; 4] = ["rennes", "brest", "vannes", "saint-brieuc"];
 
-/// Time of one step of an engine.
+/// Duration of one engine step.
 const STEP: Duration = Duration::from_millis(6);
 
-/// A pool of stand-ins.
+/// A pool of stand-in targets.
 #[derive(Clone, Debug)]
-pub struct PoolForm {
+pub struct PoolSpec {
     /// Name.
     pub name: &'static str,
     /// Number of targets.
     pub targets: usize,
-    /// Time of one call or step.
+    /// Duration of one call, or of one step of an engine.
     pub step: Duration,
-    /// Calls that one target runs at once.
+    /// Calls that one target runs concurrently.
     pub slots: usize,
     /// Whether its targets run a call with a known idempotency key only once.
     pub checks_keys: bool,
-    /// Whether its engines refuse orders with a token below the highest they have seen.
+    /// Whether its engines refuse orders with a fencing token below the highest they have seen.
     pub checks_tokens: bool,
 }
 
-/// Resources of both users, in an order in which each names only earlier ones.
+/// Resources of both users, ordered so that each refers only to earlier ones.
 pub fn resources() -> Vec<Resource> {
     [WINE, LAMP].into_iter().flat_map(parsed).collect()
 }
 
-/// Pools of both users, at the sizes of today.
-pub fn pools() -> Vec<PoolForm> {
-    let pool = |name, targets, step_ms, slots, checks_keys| PoolForm {
+/// Pools of both users.
+pub fn pools() -> Vec<PoolSpec> {
+    let pool = |name, targets, step_ms, slots, checks_keys| PoolSpec {
         name,
         targets,
         step: Duration::from_millis(step_ms),
@@ -49,7 +49,7 @@
         checks_keys,
         checks_tokens: true,
     };
-    let engine = |name, targets| PoolForm { step: STEP, ..pool(name, targets, 0, 16, false) };
+    let engine = |name, targets| PoolSpec { step: STEP, ..pool(name, targets, 0, 16, false) };
     vec![
         engine("wine-models", 12),
         pool("wine-encoders", 3, 3, 8, false),
@@ -70,13 +70,13 @@
     ]
 }
 
-/// Form of the target at `index` of a pool.
-pub fn target_form(pool: &PoolForm, index: usize) -> TargetForm {
+/// Configuration of the stand-in target at `index` of a pool.
+pub fn target_config(pool: &PoolSpec, index: usize) -> TargetForm {
     let is_wine = WINE.contains(&format!("\"name\": \"{}\"", pool.name));
-    let places = if is_wine { WINE_PLACES } else { LAMP_PLACES };
+    let domains = if is_wine { WINE_DOMAINS } else { LAMP_DOMAINS };
     TargetForm {
         pool: pool.name.to_owned(),
-        domain: places[index % places.len()].to_owned(),
+        domain: domains[index % domains.len()].to_owned(),
         step: pool.step,
         slots: pool.slots,
         checks_keys: pool.checks_keys,
--- a/crates/holdpoint-emulator/src/world.rs
+++ b/crates/holdpoint-emulator/src/world.rs
@@ -1,4 +1,5 @@
-//! A whole system: stand-ins and instances.
+//! A whole system in one process: stand-ins for the log, the instance list and the targets, and
+//! instances of the daemon.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,33 +24,33 @@
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 
-use crate::users::{self, PoolForm, WINE_PLACES};
+use crate::users::{self, PoolSpec, WINE_DOMAINS};
 
 /// Bearer token of the operator.
 pub const OPERATOR_TOKEN: &str = "demo-operator";
-/// How often a condition is looked at while it is waited for.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between checks of a condition that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a system is made of.
+/// Configuration of a system.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
     /// Pools of targets.
-    pub pools: Vec<PoolForm>,
+    pub pools: Vec<PoolSpec>,
     /// Resources applied at the start.
     pub resources: Vec<Resource>,
     /// Seed of the stand-ins' faults.
     pub seed: u64,
-    /// Settings of all instances, but for names and addresses: a JSON object laid over the
+    /// Settings of all instances, except names and addresses: a JSON object merged over the
     /// defaults.
     pub settings: Value,
-    /// Whether instances reach each other through relays, which can lose what they carry.
+    /// Whether instances reach each other through relays, which can drop traffic.
     pub relays: bool,
 }
 
 impl Plan {
-    /// Plans a system with the pools and resources of both users.
+    /// Configures a system with the pools and resources of both users.
     pub fn new(instances: usize) -> Plan {
         Plan {
             instances,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Lays settings over the defaults.
+    /// Merges settings over the defaults.
     pub fn with_settings(mut self, settings: Value) -> Plan {
         self.settings = settings;
         self
@@ -88,7 +89,7 @@
     pub list: ListStandin,
     /// Targets of all pools.
     pub targets: Vec<(String, TargetStandin)>,
-    /// What the targets truly ran.
+    /// Calls that the targets ran.
     pub tally: Tally,
     /// HTTP client of callers and operators.
     pub http: Http,
@@ -114,7 +115,7 @@
         for pool in &plan.pools {
             for index in 0..pool.targets {
                 let seed = plan.seed.wrapping_mul(1000) + targets.len() as u64;
-                let form = users::target_form(pool, index);
+                let form = users::target_config(pool, index);
                 let target = TargetStandin::start(form, tally.clone(), seed).await;
                 list.add_target(target.listed());
                 targets.push((pool.name.to_owned(), target));
@@ -133,7 +134,7 @@
         for index in 0..plan.instances {
             world.start_instance(&format!("entry-{}", index + 1)).await;
         }
-        world.until("all instances are ready", |it| it.all_ready()).await;
+        world.wait_until("all instances are ready", |it| it.all_ready()).await;
         if 0 < plan.instances {
             world.apply(&plan.resources).await;
         }
@@ -145,7 +146,7 @@
         let relay = if self.relays { Some(Arc::new(Relay::start().await)) } else { None };
         let mut slots = self.slots.lock();
         let index = slots.iter().position(|it| it.name == name).unwrap_or(slots.len());
-        let domain = WINE_PLACES[index % WINE_PLACES.len()];
+        let domain = WINE_DOMAINS[index % WINE_DOMAINS.len()];
         let mut settings = self.settings_of(name, domain);
         if let Some(it) = &relay {
             settings.listen.advertise = it.address().to_owned();
@@ -168,7 +169,7 @@
         if index < slots.len() { slots[index] = slot } else { slots.push(slot) }
     }
 
-    /// Ends an instance at once, as if its process had died.
+    /// Ends an instance at once, as a crash of its process would.
     pub fn kill(&self, index: usize) {
         let instance = self.slots.lock()[index].instance.take();
         if let Some(it) = instance {
@@ -176,7 +177,9 @@
         }
     }
 
-    /// Stops an instance as planned, and takes it off the list.
+    /// Drains and stops an instance, then removes it from the instance list.
+    ///
+    /// Returns `None` if the instance is not running.
     pub async fn stop(&self, index: usize) -> Option<Ended> {
         let (instance, name) = {
             let mut slots = self.slots.lock();
@@ -187,8 +190,10 @@
         Some(ended)
     }
 
-    /// Loses what other instances send to one of them, or what it answers, or both.
-    pub fn lose(&self, index: usize, calls: bool, answers: bool) {
+    /// Drops the calls of other instances to this one, its answers to them, or both.
+    ///
+    /// Does nothing without relays.
+    pub fn drop_traffic(&self, index: usize, calls: bool, answers: bool) {
         if let Some(it) = &self.slots.lock()[index].relay {
             it.lose(calls, answers);
         }
@@ -204,27 +209,27 @@
         self.len() == 0
     }
 
-    /// Callers' address of an instance, dead or alive.
+    /// Address of an instance for callers, whether it is running or not.
     pub fn callers(&self, index: usize) -> String {
         self.slots.lock()[index].callers.clone()
     }
 
-    /// Operators' address of an instance, dead or alive.
+    /// Address of an instance for operators, whether it is running or not.
     pub fn operators(&self, index: usize) -> String {
         self.slots.lock()[index].operators.clone()
     }
 
-    /// What the threads of a live instance share.
+    /// Shared state of the threads of a running instance.
     pub fn shared(&self, index: usize) -> Option<Arc<holdpointd::Shared>> {
         self.slots.lock()[index].instance.as_ref().map(|it| it.shared().clone())
     }
 
-    /// Whether an instance is live and takes new work.
+    /// Whether an instance is running and accepts new work.
     pub fn is_ready(&self, index: usize) -> bool {
         self.shared(index).is_some_and(|it| it.is_ready(&it.now()))
     }
 
-    /// Whether every live instance takes new work and sees the others.
+    /// Whether every running instance accepts new work and sees the others.
     pub fn all_ready(&self) -> bool {
         let live: Vec<_> = (0..self.len()).filter_map(|it| self.shared(it)).collect();
         live.iter().all(|it| {
@@ -250,9 +255,14 @@
         }
     }
 
-    /// Applies resources in order by the first live instance.
+    /// Applies resources in order through the first running instance.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no instance is running or a resource is not accepted.
     pub async fn apply(&self, resources: &[Resource]) {
-        let index = (0..self.len()).find(|it| self.shared(*it).is_some()).expect("one is live");
+        let index =
+            (0..self.len()).find(|it| self.shared(*it).is_some()).expect("an instance is running");
         let operator = self.operator(index);
         for resource in resources {
             let spec = Value::Object(resource.spec.clone());
@@ -263,7 +273,7 @@
         }
     }
 
-    /// Sets one resource by an instance.
+    /// Sets one resource through an instance.
     pub async fn put(
         &self,
         index: usize,
@@ -275,19 +285,19 @@
         self.operator(index).put(kind, name, spec, form).await
     }
 
-    /// Waits for a condition, for ten seconds at the most.
+    /// Waits until a condition holds, for about ten seconds at most.
     ///
     /// # Panics
     ///
-    /// Panics where the condition does not come about.
-    pub async fn until(&self, what: &str, is_met: impl Fn(&World) -> bool) {
+    /// Panics if the condition does not hold in that time.
+    pub async fn wait_until(&self, what: &str, is_met: impl Fn(&World) -> bool) {
         for _ in 0..1000 {
             if is_met(self) {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("waited in vain until {what}");
+        panic!("timed out after 10 s waiting until {what}");
     }
 
     fn settings_of(&self, name: &str, domain: &str) -> Settings {
@@ -306,14 +316,14 @@
     }
 }
 
-/// Lays one JSON value over another: objects member by member, all else as a whole.
-fn overlay(under: &mut Value, over: &Value) {
-    match (under, over) {
-        (Value::Object(under), Value::Object(over)) => {
+/// Merges `over` into `base`: objects member by member, other values are replaced.
+fn overlay(base: &mut Value, over: &Value) {
+    match (base, over) {
+        (Value::Object(base), Value::Object(over)) => {
             for (name, value) in over {
-                overlay(under.entry(name.clone()).or_insert(Value::Null), value);
+                overlay(base.entry(name.clone()).or_insert(Value::Null), value);
             }
         }
-        (under, over) => *under = over.clone(),
+        (base, over) => *base = over.clone(),
     }
 }
--- a/crates/holdpoint-emulator/tests/failures.rs
+++ b/crates/holdpoint-emulator/tests/failures.rs
@@ -1,9 +1,9 @@
-//! Failures brought about on purpose, each at the moment that hurts most.
+//! Injects single failures into a system and checks what callers and operators receive.
 
 use std::time::Duration;
 
 use holdpoint_emulator::{
-    caller::{self, Request, Told},
+    caller::{self, Reply, Request},
     faults::{self, Fault},
     load::instances,
     world::{Plan, World},
@@ -13,18 +13,18 @@
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-fn hold(marker: &str, patience_ms: u64) -> Request {
+fn hold(marker: &str, timeout_ms: u64) -> Request {
     Request {
         pipeline: "stock-hold".to_owned(),
         bearer: "demo-saskatoon-shops".to_owned(),
         input: json!({ "marker": marker }),
-        patience: Duration::from_millis(patience_ms),
+        timeout: Duration::from_millis(timeout_ms),
         key: Some(Uuid::now_v7().to_string()),
         streamed: false,
     }
 }
 
-async fn ask(world: &World, first: usize, request: &Request) -> Told {
+async fn send(world: &World, first: usize, request: &Request) -> Reply {
     caller::request(&world.http, &instances(world), first, request).await
 }
 
@@ -38,10 +38,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_first_hold_does_not_wait_for_a_record_in_an_empty_stream() {
-    // One read waits for up to 15 s here: far longer than the patience.
+    // A read of the log may block for up to 15 s here, far beyond the caller's timeout.
     let timing = json!({ "timing": { "confirm_ms": 60_000, "dead_ms": 60_000 } });
     let world = World::start(&Plan::new(1).with_settings(timing)).await;
-    assert!(ask(&world, 0, &hold("a", 5000)).await.is_whole());
+    assert!(send(&world, 0, &hold("a", 5000)).await.is_whole());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -49,26 +49,30 @@
     let world = World::start(&Plan::new(2)).await;
     world.pool("till-stock").iter().for_each(|it| it.faults().lose_answer = 1000);
     let request = hold("lost", 4000);
-    let told = ask(&world, 0, &request).await;
-    assert_eq!(told.problem_kind(), Some("outcome-unknown"), "{told:?}");
-    assert!(!told.is_not_run());
+    let reply = send(&world, 0, &request).await;
+    assert_eq!(reply.problem_kind(), Some("outcome-unknown"), "{reply:?}");
+    assert!(!reply.is_not_run());
     world.pool("till-stock").iter().for_each(|it| it.faults().lose_answer = 0);
-    let again = ask(&world, 1, &request).await;
-    assert_eq!(again.problem_kind(), Some("outcome-unknown"), "unknown for good: {again:?}");
+    let again = send(&world, 1, &request).await;
+    assert_eq!(
+        again.problem_kind(),
+        Some("outcome-unknown"),
+        "the outcome stays unknown: {again:?}"
+    );
     assert_eq!(world.tally.runs("till-stock", "lost"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_transfer_whose_answer_was_lost_is_made_again_since_its_targets_check_keys() {
     let world = World::start(&Plan::new(2)).await;
-    // Each target loses answers until one of them is asked again and answers from its record.
+    // All targets but the first lose their answers, so that calls are retried with their key.
     world.pool("transfers").iter().skip(1).for_each(|it| it.faults().lose_answer = 1000);
     let mut request = hold("transfer", 4000);
     request.pipeline = "transfer".to_owned();
     for _ in 0..6 {
         request.key = Some(Uuid::now_v7().to_string());
-        let told = ask(&world, 0, &request).await;
-        assert!(!told.is_not_run(), "{told:?}");
+        let reply = send(&world, 0, &request).await;
+        assert!(!reply.is_not_run(), "{reply:?}");
     }
     assert_eq!(world.tally.runs("transfers", "transfer"), 6, "each of the six keys ran once");
 }
@@ -81,11 +85,11 @@
         target.stopped().await;
     }
     let request = hold("refused", 4000);
-    let told = ask(&world, 0, &request).await;
-    assert!(told.is_not_run(), "{told:?}");
+    let reply = send(&world, 0, &request).await;
+    assert!(reply.is_not_run(), "{reply:?}");
     assert_eq!(world.tally.runs("till-stock", "refused"), 0);
-    let again = ask(&world, 1, &request).await;
-    assert!(again.is_not_run(), "the claim was released, so this is no unknown: {again:?}");
+    let again = send(&world, 1, &request).await;
+    assert!(again.is_not_run(), "the claim is released, so the outcome is not unknown: {again:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -98,15 +102,15 @@
     let first = request.clone();
     let asking = tokio::spawn(async move { caller::request(&http, &only_first, 0, &first).await });
     world
-        .until("the hold is sent", |it| {
+        .wait_until("the hold is sent", |it| {
             0 < it.pool("till-stock").iter().map(|it| it.calls()).sum::<u64>()
         })
         .await;
     world.kill(0);
     world.list.remove_instance("entry-1");
     asking.abort();
-    let told = ask(&world, 1, &request).await;
-    assert_eq!(told.problem_kind(), Some("outcome-unknown"), "{told:?}");
+    let reply = send(&world, 1, &request).await;
+    assert_eq!(reply.problem_kind(), Some("outcome-unknown"), "{reply:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,7 +119,7 @@
     let mut request = hold("own", 8000);
     (request.pipeline, request.key, request.streamed) = ("pairing".to_owned(), None, true);
     request.bearer = "demo-regina-shops".to_owned();
-    assert!(ask(&world, 0, &request).await.is_whole());
+    assert!(send(&world, 0, &request).await.is_whole());
     let place = holdpoint_core::token::Place {
         organisation: "regina-shops".to_owned(),
         pipeline: "pairing".to_owned(),
@@ -127,18 +131,21 @@
     };
     let shared = world.shared(0).unwrap();
     let token = holdpoint_core::token::seal(&place, &shared.token_keys);
-    let reading =
-        caller::Reading { token: Some(token), request: Some("r".to_owned()), ..Default::default() };
+    let reading = caller::StreamProgress {
+        token: Some(token),
+        request: Some("r".to_owned()),
+        ..Default::default()
+    };
     request.bearer = "demo-calgary-shops".to_owned();
-    let told = caller::resume(&world.http, &instances(&world), 0, &request, reading).await;
-    assert_eq!(told.problem_kind(), Some("forbidden"), "{told:?}");
+    let reply = caller::resume(&world.http, &instances(&world), 0, &request, reading).await;
+    assert_eq!(reply.problem_kind(), Some("forbidden"), "{reply:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_is_pending_until_every_listed_instance_has_it() {
     let waits = json!({ "timing": { "change_wait_ms": 300 } });
     let world = World::start(&Plan::new(3).with_settings(waits)).await;
-    // The list still names an instance that has died: nothing proves what it serves.
+    // The list still contains the crashed instance, so the change cannot be confirmed there.
     world.kill(2);
     let form = ChangeForm { base: None, change: Some("c1".to_owned()) };
     let status = world.put(0, "policies", "predicted", &spec(7), &form).await.unwrap();
@@ -164,14 +171,14 @@
     let form = ChangeForm { base: None, change: Some("c2".to_owned()) };
     let status = world.put(0, "policies", "predicted", &spec(8), &form).await.unwrap();
     assert_eq!(status.state, ChangeState::Accepted);
-    // The operator did not see that answer and repeats the change at the other instance.
+    // The operator repeats the change at the other instance, as if the answer had been lost.
     let again = world.put(1, "policies", "predicted", &spec(8), &form).await.unwrap();
     assert_eq!((again.state, again.version), (ChangeState::Accepted, status.version));
-    // The operator may be answered before the append is made again.
+    // The operator's answer may precede the repeated append.
     let is_twice = |it: &World| before + 1 < it.log.records("control").len();
-    world.until("the log holds the change more than once", is_twice).await;
+    world.wait_until("the log holds the change more than once", is_twice).await;
     let version = world.operator(1).get("/apis/v1/policies/predicted").await.unwrap();
-    assert_eq!(version["version"].as_u64(), status.version, "and it counts once");
+    assert_eq!(version["version"].as_u64(), status.version, "the change is applied once");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -198,11 +205,11 @@
     let timing = json!({ "timing": { "confirm_ms": 600, "dead_ms": 600, "log_timeout_ms": 200 } });
     let world = World::start(&Plan::new(3).with_settings(timing)).await;
     world.log.faults().outage = true;
-    // Far longer than an instance may serve unconfirmed.
+    // Well beyond `confirm_ms`, the time that an instance may serve unconfirmed.
     tokio::time::sleep(Duration::from_millis(2500)).await;
-    assert!((0..3).all(|it| world.is_ready(it)), "none has isolated itself");
+    assert!((0..3).all(|it| world.is_ready(it)), "every instance stays ready");
     world.start_instance("entry-4").await;
-    world.until("the new instance serves", |it| it.is_ready(3)).await;
+    world.wait_until("the new instance serves", |it| it.is_ready(3)).await;
     assert_eq!(policy_at(&world, 3).await, policy_at(&world, 0).await);
 }
 
@@ -211,16 +218,16 @@
     let timing = json!({ "timing": { "confirm_ms": 600, "dead_ms": 600, "log_timeout_ms": 200 } });
     let world = World::start(&Plan::new(3).with_settings(timing).with_relays()).await;
     world.log.faults().outage = true;
-    // Its peers hear nothing of it and it hears nothing of them, while the others go on.
-    world.lose(2, true, true);
-    world.lose(0, true, true);
-    world.lose(1, true, true);
-    world.until("all are isolated", |it| (0..3).all(|index| !it.is_ready(index))).await;
-    let told = ask(&world, 0, &hold("isolated", 500)).await;
-    assert_eq!(told.problem_kind(), Some("not-ready"), "{told:?}");
-    assert!(told.is_not_run());
+    // No instance receives calls or answers of its peers.
+    world.drop_traffic(2, true, true);
+    world.drop_traffic(0, true, true);
+    world.drop_traffic(1, true, true);
+    world.wait_until("all are isolated", |it| (0..3).all(|index| !it.is_ready(index))).await;
+    let reply = send(&world, 0, &hold("isolated", 500)).await;
+    assert_eq!(reply.problem_kind(), Some("not-ready"), "{reply:?}");
+    assert!(reply.is_not_run());
     world.log.faults().outage = false;
-    world.until("all are ready again", |it| (0..3).all(|index| it.is_ready(index))).await;
+    world.wait_until("all are ready again", |it| (0..3).all(|index| it.is_ready(index))).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -242,7 +249,7 @@
         tokio::time::sleep(Duration::from_millis(900)).await;
         world.stop(turn).await;
         world.start_instance(&format!("entry-{}", turn + 4)).await;
-        world.until("the new instance is ready", |it| it.is_ready(turn + 3)).await;
+        world.wait_until("the new instance is ready", |it| it.is_ready(turn + 3)).await;
         assert_eq!(policy_at(&world, turn + 3).await, expected, "never an older version");
     }
     let last = world.log.records("control").first().cloned();
@@ -256,17 +263,17 @@
 async fn a_leaving_target_gets_no_new_work_by_any_sign() {
     let world = World::start(&Plan::new(3)).await;
     world.list.set_stale(true);
-    // Only its own answers say so, to whichever instance calls it first.
+    // With a stale list, only the target's answers carry the drain notice.
     let target = world.pool("commune-portal")[0];
     target.faults().leaving = true;
     let mut request = hold("status", 2000);
     (request.pipeline, request.key) = ("lamp-status".to_owned(), None);
     request.bearer = "demo-rennes-commune".to_owned();
     for turn in 0..60 {
-        assert!(ask(&world, turn, &request).await.is_whole());
+        assert!(send(&world, turn, &request).await.is_whole());
     }
     world
-        .until("every instance knows", |it| {
+        .wait_until("every instance has the drain notice", |it| {
             (0..3).all(|index| {
                 let view = it.shared(index).unwrap().now();
                 view.targets["commune-portal"]
@@ -277,7 +284,7 @@
         .await;
     let before = target.calls();
     for turn in 0..60 {
-        assert!(ask(&world, turn, &request).await.is_whole());
+        assert!(send(&world, turn, &request).await.is_whole());
     }
     assert_eq!(target.calls(), before);
 }
@@ -304,7 +311,9 @@
             .count()
     };
     world
-        .until("the holdings are met", |it| held(it, "wine-7b") == 8 && held(it, "wine-13b") == 4)
+        .wait_until("the holdings are met", |it| {
+            held(it, "wine-7b") == 8 && held(it, "wine-13b") == 4
+        })
         .await;
     let tokens: Vec<u64> = world
         .pool("wine-models")
@@ -312,8 +321,8 @@
         .flat_map(|it| it.followed())
         .filter_map(|it| it.token)
         .collect();
-    assert_eq!(tokens.len(), 12, "one order an engine");
-    // A paused holder wakes up with a token of the past: the engines refuse it.
+    assert_eq!(tokens.len(), 12, "one order per engine");
+    // A lease holder that resumes with a stale token is refused by the engines.
     let shared = world.shared(0).unwrap();
     let engine = world.pool("wine-models")[0];
     let stale = engine.followed()[0].clone();
--- a/crates/holdpoint-emulator/tests/sessions.rs
+++ b/crates/holdpoint-emulator/tests/sessions.rs
@@ -1,9 +1,9 @@
-//! Golden files of whole sessions: what callers and operators send and get, line by line.
+//! Compares transcripts of whole sessions of callers and operators with golden files.
 
 use std::{fmt::Write, time::Duration};
 
 use holdpoint_emulator::{
-    caller::{self, Request, Told},
+    caller::{self, Reply, Request},
     load::instances,
     world::{OPERATOR_TOKEN, Plan, World},
 };
@@ -14,7 +14,7 @@
 use tokio::task::JoinHandle;
 use uuid::Uuid;
 
-/// A transcript with all that differs from run to run blotted out.
+/// A transcript in which values that vary between runs are redacted.
 struct Session {
     world: World,
     text: String,
@@ -25,11 +25,11 @@
         Session { world: World::start(&Plan::new(3)).await, text: String::new() }
     }
 
-    fn note(&mut self, text: &str) {
+    fn add_comment(&mut self, text: &str) {
         writeln!(self.text, "# {text}").unwrap();
     }
 
-    /// Makes a call as it goes over the wire and writes down both sides of it.
+    /// Makes a call and adds the request and the reply to the transcript.
     async fn call(
         &mut self,
         address: &str,
@@ -56,7 +56,7 @@
                 writeln!(self.text, "< {name}: {}", it.to_str().unwrap()).unwrap();
             }
         }
-        writeln!(self.text, "< {} {}", reply.status.as_u16(), blotted(value.clone())).unwrap();
+        writeln!(self.text, "< {} {}", reply.status.as_u16(), redacted(value.clone())).unwrap();
         value
     }
 
@@ -87,40 +87,40 @@
         self.call(&address, Method::PUT, path, &all, spec.to_string().as_bytes()).await
     }
 
-    fn told(&mut self, who: &str, told: &Told) {
-        let text = match told {
-            Told::Whole { answer, text, replayed } => {
-                let answer = blotted(serde_json::to_value(answer).unwrap());
+    fn record_reply(&mut self, who: &str, reply: &Reply) {
+        let text = match reply {
+            Reply::Whole { answer, text, replayed } => {
+                let answer = redacted(serde_json::to_value(answer).unwrap());
                 format!("whole, replayed {replayed}, text {text:?}, {answer}")
             }
-            Told::Problem(it) => blotted(serde_json::to_value(it).unwrap()).to_string(),
-            Told::Silence(it) => format!("{it:?}"),
+            Reply::Problem(it) => redacted(serde_json::to_value(it).unwrap()).to_string(),
+            Reply::Silence(it) => format!("{it:?}"),
         };
         writeln!(self.text, "< {who}: {text}").unwrap();
     }
 }
 
-/// Blots out ids, addresses, times and costs.
-fn blotted(mut value: Value) -> Value {
+/// Replaces ids, addresses, times and costs.
+fn redacted(mut value: Value) -> Value {
     match &mut value {
         Value::Object(map) => {
             for (name, inner) in map.iter_mut() {
                 let is_varying = matches!(name.as_str(), "request" | "target" | "ms" | "cost");
-                *inner = if is_varying { json!("…") } else { blotted(inner.take()) };
+                *inner = if is_varying { json!("…") } else { redacted(inner.take()) };
             }
         }
-        Value::Array(items) => items.iter_mut().for_each(|it| *it = blotted(it.take())),
+        Value::Array(items) => items.iter_mut().for_each(|it| *it = redacted(it.take())),
         _ => (),
     }
     value
 }
 
-/// Starts to read a long stream at instance 0; returns once its generation has begun.
-async fn begin_stream(world: &World, marker: &str) -> JoinHandle<Told> {
+/// Starts to read a long stream at instance 0; returns once generation has started.
+async fn begin_stream(world: &World, marker: &str) -> JoinHandle<Reply> {
     let (http, addresses) = (world.http.clone(), instances(world));
-    let ask = request("allocation-summary", "demo-head-office", marker);
-    let reading = tokio::spawn(async move { caller::request(&http, &addresses, 0, &ask).await });
-    world.until("the stream has begun", |it| it.tally.total("wine-models") == 1).await;
+    let call = request("allocation-summary", "demo-head-office", marker);
+    let reading = tokio::spawn(async move { caller::request(&http, &addresses, 0, &call).await });
+    world.wait_until("the stream has begun", |it| it.tally.total("wine-models") == 1).await;
     reading
 }
 
@@ -133,7 +133,7 @@
         pipeline: pipeline.to_owned(),
         bearer: bearer.to_owned(),
         input: json!({ "marker": marker, "text": "duck" }),
-        patience: Duration::from_secs(8),
+        timeout: Duration::from_secs(8),
         key: None,
         streamed: true,
     }
@@ -142,15 +142,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streamed_answer() {
     let mut session = Session::start().await;
-    let ask = request("pairing", "demo-regina-shops", "a1");
-    let told = caller::request(&session.world.http, &instances(&session.world), 0, &ask).await;
-    session.note("a pairing through encode, retrieve and generate, streamed");
-    session.told("pairing", &told);
-    let ask = request("fault-report", "demo-planners", "a2");
-    let told = caller::request(&session.world.http, &instances(&session.world), 1, &ask).await;
-    session.note("a fault report through all four stages at another instance");
-    session.told("fault-report", &told);
-    session.note("the same pairing, not streamed");
+    let call = request("pairing", "demo-regina-shops", "a1");
+    let reply = caller::request(&session.world.http, &instances(&session.world), 0, &call).await;
+    session.add_comment("a pairing through encode, retrieve and generate, streamed");
+    session.record_reply("pairing", &reply);
+    let call = request("fault-report", "demo-planners", "a2");
+    let reply = caller::request(&session.world.http, &instances(&session.world), 1, &call).await;
+    session.add_comment("a fault report through all four stages at another instance");
+    session.record_reply("fault-report", &reply);
+    session.add_comment("the same pairing, not streamed");
     session.post("pairing", "demo-regina-shops", None, br#"{"input":{"marker":"a3"}}"#).await;
     insta::assert_snapshot!(session.text);
 }
@@ -160,19 +160,19 @@
     let mut session = Session::start().await;
     let shop = "demo-regina-shops";
     let good = br#"{"input":{"marker":"b1"}}"#;
-    session.note("unknown key, unknown pipeline");
+    session.add_comment("unknown key, unknown pipeline");
     session.post("pairing", "nobody", None, good).await;
     session.post("no-such", shop, None, good).await;
-    session.note("bodies: truncated, unknown field, missing field, not UTF-8");
+    session.add_comment("bodies: truncated, unknown field, missing field, not UTF-8");
     session.post("pairing", shop, None, br#"{"input":{"#).await;
     session.post("pairing", shop, None, br#"{"input":1,"extra":2}"#).await;
     session.post("pairing", shop, None, b"{}").await;
     session.post("pairing", shop, None, b"{\"input\":\"\xff\"}").await;
-    session.note("a hold without a key, with a key that is no UUID, with one of 2021");
+    session.add_comment("a hold without a key, with a key that is no UUID, with one of 2021");
     session.post("stock-hold", shop, None, good).await;
     session.post("stock-hold", shop, Some("17"), good).await;
     session.post("stock-hold", shop, Some("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"), good).await;
-    session.note("a resume without a token, and with one of nobody's making");
+    session.add_comment("a resume without a token, and with one of nobody's making");
     let address = session.world.callers(0);
     let bearer = ("authorization", format!("Bearer {shop}"));
     session.call(&address, Method::GET, "/v1/requests/x", std::slice::from_ref(&bearer), b"").await;
@@ -188,22 +188,22 @@
     let mut session = Session::start().await;
     let shop = "demo-saskatoon-shops";
     let (key, body) = (key(), br#"{"input":{"marker":"c1","bottles":6}}"#);
-    session.note("a hold, then the same key at the same instance");
+    session.add_comment("a hold, then the same key at the same instance");
     session.post("stock-hold", shop, Some(&key), body).await;
     session.post("stock-hold", shop, Some(&key), body).await;
-    session.note("the same key with another body");
+    session.add_comment("the same key with another body");
     session.post("stock-hold", shop, Some(&key), br#"{"input":{"marker":"c1","bottles":7}}"#).await;
-    session.note("the same key from another organisation is another call");
+    session.add_comment("the same key from another organisation is another call");
     session
         .post("stock-hold", "demo-calgary-shops", Some(&key), br#"{"input":{"marker":"c2"}}"#)
         .await;
-    session.note("the same key after the instance that held it has died");
+    session.add_comment("the same key after the instance that held it has died");
     session.world.kill(0);
-    let mut ask = request("stock-hold", shop, "c1");
-    ask.input = json!({ "marker": "c1", "bottles": 6 });
-    (ask.key, ask.streamed) = (Some(key), false);
-    let told = caller::request(&session.world.http, &instances(&session.world), 1, &ask).await;
-    session.told("stock-hold", &told);
+    let mut call = request("stock-hold", shop, "c1");
+    call.input = json!({ "marker": "c1", "bottles": 6 });
+    (call.key, call.streamed) = (Some(key), false);
+    let reply = caller::request(&session.world.http, &instances(&session.world), 1, &call).await;
+    session.record_reply("stock-hold", &reply);
     assert_eq!(session.world.tally.runs("till-stock", "c1"), 1);
     assert_eq!(session.world.tally.runs("till-stock", "c2"), 1);
     insta::assert_snapshot!(session.text);
@@ -215,7 +215,8 @@
     let path = "/apis/v1/policies/two-choices";
     let address = session.world.operators(2);
     let token = ("authorization", format!("Bearer {OPERATOR_TOKEN}"));
-    session.note("two operators read the same version and change it at two instances at once");
+    session
+        .add_comment("two operators read the same version and change it at two instances at once");
     let before = session.call(&address, Method::GET, path, std::slice::from_ref(&token), b"").await;
     let base = before["version"].as_u64().unwrap();
     let spec = |percent: u32| json!({ "route": "two-choices", "retry_percent": percent });
@@ -229,28 +230,28 @@
     let mut states = [a.unwrap().state.to_string(), b.unwrap().state.to_string()];
     let a_won = states[0] == "accepted";
     states.sort();
-    session.note(&format!("one of them wins, whichever it is: {}", states.join(" and ")));
+    session.add_comment(&format!("one of them wins, whichever it is: {}", states.join(" and ")));
     let (won, lost) = if a_won { ("change-a", "change-b") } else { ("change-b", "change-a") };
     let wanted = if a_won { 1 } else { 2 };
     for index in 0..3 {
         let operator = session.world.operator(index);
-        let in_force = operator.get(path).await.unwrap();
-        assert_eq!(in_force["spec"]["retry_percent"], wanted);
+        let active = operator.get(path).await.unwrap();
+        assert_eq!(active["spec"]["retry_percent"], wanted);
         let lost = operator.get(&format!("/apis/v1/changes/{lost}")).await.unwrap();
-        session.note(&format!("instance {index}: the loser is told {}", lost["state"]));
+        session.add_comment(&format!("instance {index}: the loser is told {}", lost["state"]));
     }
-    session.note("the same change again, by its id, at another instance: nothing changes");
+    session.add_comment("the same change again, by its id, at another instance: nothing changes");
     let same = if a_won { spec_a } else { spec_b };
     let (address, base) = (session.world.operators(2), base.to_string());
     let headers =
         [token.clone(), ("if-match", base.clone()), ("holdpoint-change", "winner".to_owned())];
     let form = ChangeForm { base: Some(base.parse().unwrap()), change: Some(won.to_owned()) };
     let again = session.world.put(2, "policies", "two-choices", &same, &form).await.unwrap();
-    session.note(&format!("answer: {}", again.state));
-    session.note("a new change against the old version");
+    session.add_comment(&format!("answer: {}", again.state));
+    session.add_comment("a new change against the old version");
     let any = json!({ "route": "two-choices" });
     session.call(&address, Method::PUT, path, &headers, any.to_string().as_bytes()).await;
-    session.note("bad specifications change nothing and name their faults");
+    session.add_comment("bad specifications change nothing and name their faults");
     session.put(0, path, &[], &json!({ "route": "psychic" })).await;
     session
         .put(
@@ -272,18 +273,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop() {
     let mut session = Session::start().await;
-    session.note("a long stream is under way at instance 0 when it is stopped");
+    session.add_comment("a long stream is under way at instance 0 when it is stopped");
     let reading = begin_stream(&session.world, "e1").await;
     let ended = session.world.stop(0).await;
     assert_eq!(ended, Some(Ended::Drained));
-    let told = reading.await.unwrap();
-    session.note("the stop waited for it");
-    session.told("allocation-summary", &told);
-    session.note("the next request goes to another instance");
-    let mut ask = request("price-lookup", "demo-calgary-shops", "e2");
-    ask.streamed = false;
-    let told = caller::request(&session.world.http, &instances(&session.world), 0, &ask).await;
-    session.told("price-lookup", &told);
+    let reply = reading.await.unwrap();
+    session.add_comment("the stop waited for it");
+    session.record_reply("allocation-summary", &reply);
+    session.add_comment("the next request goes to another instance");
+    let mut call = request("price-lookup", "demo-calgary-shops", "e2");
+    call.streamed = false;
+    let reply = caller::request(&session.world.http, &instances(&session.world), 0, &call).await;
+    session.record_reply("price-lookup", &reply);
     insta::assert_snapshot!(session.text);
 }
 
@@ -291,10 +292,12 @@
 async fn stream_handed_over_at_the_drain_limit() {
     let plan = Plan::new(3).with_settings(json!({ "timing": { "drain_ms": 100 } }));
     let mut session = Session { world: World::start(&plan).await, text: String::new() };
-    session.note("the drain limit passes while a stream is under way: its token goes on elsewhere");
+    session.add_comment(
+        "the drain limit passes while a stream is under way: its token goes on elsewhere",
+    );
     let reading = begin_stream(&session.world, "f1").await;
     assert_eq!(session.world.stop(0).await, Some(Ended::Cut));
-    session.told("allocation-summary", &reading.await.unwrap());
+    session.record_reply("allocation-summary", &reading.await.unwrap());
     assert_eq!(session.world.tally.runs("wine-models", "f1"), 1, "generated once");
     insta::assert_snapshot!(session.text);
 }
@@ -302,11 +305,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_resumed_after_a_crash() {
     let mut session = Session::start().await;
-    session.note("the instance dies in the middle of a stream: the caller resumes at another");
+    session
+        .add_comment("the instance dies in the middle of a stream: the caller resumes at another");
     let reading = begin_stream(&session.world, "g1").await;
     tokio::time::sleep(Duration::from_millis(150)).await;
     session.world.kill(0);
-    session.told("allocation-summary", &reading.await.unwrap());
+    session.record_reply("allocation-summary", &reading.await.unwrap());
     assert_eq!(session.world.tally.runs("wine-models", "g1"), 1, "generated once");
     insta::assert_snapshot!(session.text);
 }
@@ -316,18 +320,18 @@
     let mut session = Session::start().await;
     let shop = "demo-saskatoon-shops";
     let (key, body) = (key(), br#"{"input":{"marker":"h1"}}"#);
-    session.note("the log is down: a hold is refused as not run, a lookup is answered");
+    session.add_comment("the log is down: a hold is refused as not run, a lookup is answered");
     session.world.log.faults().outage = true;
     session.post("stock-hold", shop, Some(&key), body).await;
     session.post("price-lookup", "demo-calgary-shops", None, br#"{"input":{"marker":"h2"}}"#).await;
     assert_eq!(session.world.tally.runs("till-stock", "h1"), 0);
-    session.note("the log is back: the same key runs, once");
+    session.add_comment("the log is back: the same key runs, once");
     session.world.log.faults().outage = false;
-    let mut ask = request("stock-hold", shop, "h1");
-    ask.input = json!({ "marker": "h1" });
-    (ask.key, ask.streamed) = (Some(key), false);
-    let told = caller::request(&session.world.http, &instances(&session.world), 0, &ask).await;
-    session.told("stock-hold", &told);
+    let mut call = request("stock-hold", shop, "h1");
+    call.input = json!({ "marker": "h1" });
+    (call.key, call.streamed) = (Some(key), false);
+    let reply = caller::request(&session.world.http, &instances(&session.world), 0, &call).await;
+    session.record_reply("stock-hold", &reply);
     assert_eq!(session.world.tally.runs("till-stock", "h1"), 1);
     insta::assert_snapshot!(session.text);
 }
