--- a/crates/holdpoint-emulator/src/policies.rs
+++ b/crates/holdpoint-emulator/src/policies.rs
@@ -1,8 +1,8 @@
-//! Policies judged: the real routers, gates and retry budgets of several instances before small
-//! models of the engines, in manual time, on the same arrivals.
+//! Compares routing and admission policies in a discrete-event simulation.
 //!
-//! An engine is a batch that advances all its calls by one token a step, a queue, and a cache of
-//! prefixes. Nothing else is modelled: the decisions are the code that serves.
+//! Routers, gates and retry budgets are those of the daemon. Only the engines are modelled: each has
+//! a queue, a batch that generates one token per call and step, and a cache of prompt prefixes.
+//! All policies see the same arrivals.
 
 mod engine;
 mod run;
@@ -14,19 +14,19 @@
 
 pub use crate::policies::workload::{ARMOR, PRAIRIE, User};
 
-/// How requests are routed and admitted.
+/// A policy under comparison: how requests are routed and admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Arm {
     /// Name in tables.
     pub name: &'static str,
-    /// Route; `None` for the scheduler that knows everything.
+    /// Route; `None` for the oracle, a central scheduler that knows the state of all engines.
     #[serde(skip)]
     pub route: Option<Route>,
-    /// Whether the gate decides what runs, waits or is refused.
+    /// Whether the gate admits, defers or refuses requests.
     pub admits: bool,
 }
 
-/// Arms that are compared: the default first, then the baselines, then the bound.
+/// Arms under comparison: the default, the baselines, and the oracle as upper bound.
 pub const ARMS: [Arm; 7] = [
     Arm { name: "predicted", route: Some(Route::Predicted), admits: true },
     Arm { name: "two-choices", route: Some(Route::TwoChoices), admits: true },
@@ -37,70 +37,70 @@
     Arm { name: "knows everything", route: None, admits: true },
 ];
 
-/// What is wrong while a run lasts.
+/// Fault during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Trouble {
-    /// Nothing.
+    /// No fault.
     None,
     /// The stage before generation takes ten times as long.
     SlowStage,
-    /// A tenth of the engines fail every call at once.
+    /// A tenth of the engines refuse every call.
     FailingTenth,
-    /// A quarter of the engines take three times as long for a step.
+    /// A quarter of the engines are three times slower.
     SlowQuarter,
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     /// Workload.
     pub user: &'static User,
     /// Arm.
     pub arm: Arm,
-    /// Offered load as a percentage of what the engines can do.
+    /// Offered load, as a percentage of the engines' capacity.
     pub load: u32,
-    /// Trouble.
+    /// Fault.
     pub trouble: Trouble,
     /// Seed of arrivals and decisions.
     pub seed: u64,
     /// Entry instances, each with its own router and gate.
     pub instances: usize,
-    /// Length of the arrivals, in seconds.
+    /// Duration of the arrivals, in seconds.
     pub seconds: u64,
 }
 
-/// What came of one run, or of several together.
+/// Result of one run, or the sum of several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
     /// Requests offered.
     pub offered: u64,
-    /// Answered whole and in time.
+    /// Requests answered whole and in time.
     pub attained: u64,
-    /// Refused before anything was spent on them.
+    /// Requests refused before they used any engine time.
     pub refused: u64,
-    /// Engine milliseconds spent.
+    /// Engine time used, in milliseconds.
     pub engine_ms: u64,
-    /// Engine milliseconds spent on requests that did not attain.
+    /// Engine time used on requests not answered in time, in milliseconds.
     pub wasted_ms: u64,
-    /// Attempts after the first one.
+    /// Retries.
     pub retries: u64,
-    /// Seconds of arrivals.
+    /// Duration of the arrivals, in seconds.
     pub seconds: u64,
 }
 
 impl Outcome {
-    /// Attainment with its interval.
+    /// Share of requests attained, with its confidence interval.
     pub fn attainment(&self) -> Interval {
         wilson(self.attained, self.offered)
     }
 
-    /// Requests attained a second.
+    /// Requests attained per second.
     pub fn goodput(&self) -> f64 {
         self.attained as f64 / self.seconds.max(1) as f64
     }
 
-    /// Engine milliseconds for each request attained.
+    /// Engine time per attained request, in milliseconds.
     pub fn cost(&self) -> f64 {
         self.engine_ms as f64 / self.attained.max(1) as f64
     }
@@ -122,7 +122,7 @@
     run::Run::new(setup).run()
 }
 
-/// Runs a setup with each of the seeds, on as many threads as the machine has.
+/// Runs each setup with the seeds 1 to `seeds` in parallel, and sums the outcomes of each setup.
 pub fn run_all(setups: &[Setup], seeds: u64) -> Vec<Outcome> {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let done = parking_lot::Mutex::new(vec![Outcome::default(); setups.len()]);
@@ -143,7 +143,7 @@
     done.into_inner()
 }
 
-/// Policy of an arm, with the defaults of its parameters.
+/// Default policy with a route.
 fn policy_of(route: Route) -> Policy {
     Policy { route, ..holdpoint_core::catalog::default_policy() }
 }
--- a/crates/holdpoint-emulator/src/policies/run.rs
+++ b/crates/holdpoint-emulator/src/policies/run.rs
@@ -1,4 +1,4 @@
-//! One run in manual time.
+//! One run of the simulation: an event queue in simulated time.
 
 use std::{
     cmp::Reverse,
@@ -23,16 +23,16 @@
     workload::{Arrival, arrivals},
 };
 
-/// Requests that one instance lets through at once, at the most.
-const CEILING: usize = 1024;
-/// Interval at which waiting requests are checked, in microseconds.
+/// Maximum requests that one instance admits concurrently.
+const MAX_IN_FLIGHT: usize = 1024;
+/// Interval between checks for expired deferred requests.
 const SWEEP_US: u64 = 10_000;
-/// Time after which a failing engine refuses, in microseconds.
-const FAIL_US: u64 = 3000;
-/// Most attempts for one request.
+/// Delay after which a failing engine refuses a call.
+const REFUSAL_DELAY_US: u64 = 3000;
+/// Maximum attempts per request.
 const MAX_ATTEMPTS: usize = 4;
 /// Bytes of prompt that make one unit of work against tokens generated, as in the daemon.
-const PROMPT_UNITS: f64 = 40.0;
+const PROMPT_PER_UNIT: f64 = 40.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -58,7 +58,7 @@
     router: Router,
     gate: Gate,
     retries: RetryBudget,
-    /// Times by class: each is a pipeline of its own.
+    /// Times by class; each class stands for a pipeline.
     times: Vec<Times>,
     waiting: HashMap<Ticket, usize>,
 }
@@ -72,8 +72,8 @@
     requests: Vec<Request>,
     instances: Vec<Instance>,
     engines: Vec<Engine>,
-    /// Requests that the scheduler which knows everything has not placed yet.
-    central: Vec<usize>,
+    /// Requests that the oracle has not placed yet.
+    unplaced: Vec<usize>,
     rng: ChaCha8Rng,
     outcome: Outcome,
     open: usize,
@@ -88,8 +88,8 @@
             user.classes.iter().map(|it| f64::from(it.weight) * f64::from(of(it))).sum::<f64>()
                 / weight
         };
-        let able = engine::capacity(mean(&|it| it.prompt), mean(&|it| it.output));
-        let rate = able * user.engines as f64 * f64::from(setup.load) / 100.0;
+        let capacity = engine::capacity(mean(&|it| it.prompt), mean(&|it| it.output));
+        let rate = capacity * user.engines as f64 * f64::from(setup.load) / 100.0;
         let arrivals = arrivals(user, rate, setup.seconds, setup.instances, &mut rng);
         let policy = policy_of(setup.arm.route.unwrap_or(Route::Predicted));
         let instances = (0..setup.instances).map(|it| instance(setup, it, &policy)).collect();
@@ -104,14 +104,14 @@
             requests: Vec::with_capacity(arrivals.len()),
             instances,
             engines: (0..user.engines).map(engine).collect(),
-            central: Vec::new(),
+            unplaced: Vec::new(),
             rng,
             outcome: Outcome { seconds: setup.seconds, ..Outcome::default() },
             open: arrivals.len(),
         };
         for (index, arrival) in arrivals.into_iter().enumerate() {
-            let deadline_us = arrival.at_us + arrival.class.patience_ms * 1000;
-            run.at(arrival.at_us, Event::Arrive(index));
+            let deadline_us = arrival.at_us + arrival.class.timeout_ms * 1000;
+            run.schedule(arrival.at_us, Event::Arrive(index));
             run.requests.push(Request {
                 arrival,
                 deadline_us,
@@ -120,7 +120,7 @@
                 first_sent_us: 0,
             });
         }
-        run.at(SWEEP_US, Event::Sweep);
+        run.schedule(SWEEP_US, Event::Sweep);
         run
     }
 
@@ -144,7 +144,7 @@
         self.outcome
     }
 
-    fn at(&mut self, at_us: u64, event: Event) {
+    fn schedule(&mut self, at_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at_us, self.sequence, event)));
     }
@@ -153,14 +153,14 @@
         self.now_us / 1000
     }
 
-    fn knows_everything(&self) -> bool {
+    fn is_oracle(&self) -> bool {
         self.setup.arm.route.is_none()
     }
 
     fn arrive(&mut self, index: usize) {
-        if self.knows_everything() {
-            let before = self.before_us();
-            return self.at(self.now_us + before, Event::Route(index));
+        if self.is_oracle() {
+            let pre_stage = self.pre_stage_us();
+            return self.schedule(self.now_us + pre_stage, Event::Route(index));
         }
         if !self.setup.arm.admits {
             return self.start(index);
@@ -187,22 +187,22 @@
         self.open -= 1;
     }
 
-    fn before_us(&self) -> u64 {
+    fn pre_stage_us(&self) -> u64 {
         let factor = if self.setup.trouble == Trouble::SlowStage { 10 } else { 1 };
-        self.setup.user.before_us * factor
+        self.setup.user.pre_stage_us * factor
     }
 
-    /// The stage before generation, then routing.
+    /// Runs the stage before generation; routing follows.
     fn start(&mut self, index: usize) {
-        let before = self.before_us();
+        let pre_stage = self.pre_stage_us();
         self.requests[index].first_sent_us = self.now_us;
-        self.at(self.now_us + before, Event::Route(index));
+        self.schedule(self.now_us + pre_stage, Event::Route(index));
     }
 
     fn route(&mut self, index: usize) {
-        if self.knows_everything() {
-            self.central.push(index);
-            return self.place();
+        if self.is_oracle() {
+            self.unplaced.push(index);
+            return self.place_unplaced();
         }
         let now = self.now_ms();
         let request = &self.requests[index];
@@ -213,34 +213,34 @@
             Budget::Hopeless { .. }
         );
         if is_hopeless || MAX_ATTEMPTS <= request.tried.len() {
-            return self.give_up(index);
+            return self.abandon(index);
         }
         let call = call(request);
         let chosen = instance.router.choose(now, &self.policy, &call, &mut self.rng);
-        let Ok(choice) = chosen else { return self.give_up(index) };
+        let Ok(choice) = chosen else { return self.abandon(index) };
         instance.router.sent(now, &choice.address, &call);
         if request.tried.is_empty() {
             instance.retries.first(self.policy.retry_percent);
         }
         let engine: usize = choice.address[1..].parse().unwrap_or(0);
-        let way = self.way_us(request.arrival.instance, engine);
+        let delay = self.network_us(request.arrival.instance, engine);
         self.requests[index].sent_us = self.now_us;
-        self.at(self.now_us + way, Event::Deliver(index, engine));
+        self.schedule(self.now_us + delay, Event::Deliver(index, engine));
     }
 
-    fn give_up(&mut self, index: usize) {
+    fn abandon(&mut self, index: usize) {
         self.open -= 1;
-        self.done_at_gate(index, Signal::Silent);
+        self.release_gate(index, Signal::Silent);
     }
 
-    fn way_us(&self, instance: usize, engine: usize) -> u64 {
-        if instance % 4 == engine % 4 { 100 } else { self.setup.user.domain_us }
+    fn network_us(&self, instance: usize, engine: usize) -> u64 {
+        if instance % 4 == engine % 4 { 100 } else { self.setup.user.cross_domain_us }
     }
 
     fn deliver(&mut self, index: usize, engine: usize) {
         let is_failing = self.setup.trouble == Trouble::FailingTenth && engine.is_multiple_of(10);
         if is_failing {
-            return self.at(self.now_us + FAIL_US, Event::Failed(index, engine));
+            return self.schedule(self.now_us + REFUSAL_DELAY_US, Event::Failed(index, engine));
         }
         let request = &self.requests[index];
         self.engines[engine].waiting.push_back(Work {
@@ -249,7 +249,7 @@
             left: request.arrival.class.output,
             prefix: request.arrival.prefix,
             deadline_us: request.deadline_us,
-            spent_us: 0,
+            used_us: 0,
         });
         self.step_begin(engine);
     }
@@ -259,32 +259,32 @@
         if it.is_stepping || (it.waiting.is_empty() && it.running.is_empty()) {
             return;
         }
-        let (took, dropped) = it.begin(self.now_us);
+        let (took, dropped) = it.begin_step(self.now_us);
         it.is_stepping = !it.running.is_empty();
         let is_stepping = it.is_stepping;
         self.drop_all(&dropped, engine);
         if is_stepping {
-            self.at(self.now_us + took, Event::StepEnd(engine, took));
+            self.schedule(self.now_us + took, Event::StepEnd(engine, took));
         }
     }
 
     fn step_end(&mut self, engine: usize, took: u64) {
         self.engines[engine].is_stepping = false;
-        let stepped = self.engines[engine].end(self.now_us, took);
-        for work in &stepped.whole {
-            let way = self.way_us(self.requests[work.request].arrival.instance, engine);
-            self.at(self.now_us + way, Event::Ended(work.request, engine, work.spent_us));
+        let result = self.engines[engine].end_step(self.now_us, took);
+        for work in &result.completed {
+            let delay = self.network_us(self.requests[work.request].arrival.instance, engine);
+            self.schedule(self.now_us + delay, Event::Ended(work.request, engine, work.used_us));
         }
-        self.drop_all(&stepped.dropped, engine);
+        self.drop_all(&result.dropped, engine);
         self.step_begin(engine);
-        if self.knows_everything() {
-            self.place();
+        if self.is_oracle() {
+            self.place_unplaced();
         }
     }
 
     fn drop_all(&mut self, dropped: &[Work], engine: usize) {
         for work in dropped {
-            self.at(self.now_us, Event::Dropped(work.request, engine, work.spent_us));
+            self.schedule(self.now_us, Event::Dropped(work.request, engine, work.used_us));
         }
     }
 
@@ -297,7 +297,7 @@
         } else {
             self.outcome.wasted_ms += spent_us / 1000;
         }
-        if self.knows_everything() {
+        if self.is_oracle() {
             return;
         }
         let now = self.now_ms();
@@ -311,14 +311,14 @@
         let running = self.engines[engine].running.len() as u32;
         let waiting = self.engines[engine].waiting.len() as u32;
         instance.router.report(now, &address, Load { running, waiting, pace_percent: None });
-        self.done_at_gate(index, Signal::of_load(running, waiting));
+        self.release_gate(index, Signal::of_load(running, waiting));
     }
 
     fn dropped(&mut self, index: usize, engine: usize, spent_us: u64) {
         self.open -= 1;
         self.outcome.engine_ms += spent_us / 1000;
         self.outcome.wasted_ms += spent_us / 1000;
-        if self.knows_everything() {
+        if self.is_oracle() {
             return;
         }
         let now = self.now_ms();
@@ -327,13 +327,13 @@
         instance.router.ended(now, &address(engine), call(request).work, End::Dropped);
         let running = self.engines[engine].running.len() as u32;
         let waiting = self.engines[engine].waiting.len() as u32;
-        self.done_at_gate(index, Signal::of_load(running, waiting));
+        self.release_gate(index, Signal::of_load(running, waiting));
     }
 
     fn failed(&mut self, index: usize, engine: usize) {
-        if self.knows_everything() {
-            self.central.push(index);
-            return self.place();
+        if self.is_oracle() {
+            self.unplaced.push(index);
+            return self.place_unplaced();
         }
         let now = self.now_ms();
         let request = &mut self.requests[index];
@@ -345,11 +345,11 @@
             self.outcome.retries += 1;
             self.route(index);
         } else {
-            self.give_up(index);
+            self.abandon(index);
         }
     }
 
-    fn done_at_gate(&mut self, index: usize, signal: Signal) {
+    fn release_gate(&mut self, index: usize, signal: Signal) {
         if !self.setup.arm.admits {
             return;
         }
@@ -373,13 +373,13 @@
                 }
             }
         }
-        self.at(self.now_us + SWEEP_US, Event::Sweep);
+        self.schedule(self.now_us + SWEEP_US, Event::Sweep);
     }
 
-    /// The scheduler that knows everything: it hands a call to an engine only when a slot is free,
-    /// the one with the least slack first among those that can still make it, to the engine that
-    /// holds its prefix or has least to do.
-    fn place(&mut self) {
+    /// Places requests as the oracle does: only on free slots, shortest first. Requests that cannot
+    /// meet their deadline are refused. Prefers fast engines, then those with the prefix cached,
+    /// then the smallest backlog.
+    fn place_unplaced(&mut self) {
         loop {
             let free: Vec<usize> = (0..self.engines.len())
                 .filter(|it| {
@@ -393,28 +393,28 @@
                 return;
             }
             let now = self.now_us;
-            let before = self.central.len();
+            let before = self.unplaced.len();
             let requests = &self.requests;
-            self.central.retain(|it| {
+            self.unplaced.retain(|it| {
                 let request = &requests[*it];
                 now + u64::from(request.arrival.class.output) * 7000 <= request.deadline_us
             });
-            for _ in self.central.len()..before {
+            for _ in self.unplaced.len()..before {
                 self.refuse();
             }
-            // Shortest first: it gives the most answers when not all can be given.
+            // Shortest first completes the most requests under overload.
             let shortest = |it: &usize| {
                 let class = self.requests[*it].arrival.class;
                 (class.output, class.prompt, self.requests[*it].deadline_us)
             };
             let next =
-                self.central.iter().enumerate().min_by_key(|it| shortest(it.1)).map(|it| it.0);
-            let Some(place) = next else { return };
-            let index = self.central.swap_remove(place);
+                self.unplaced.iter().enumerate().min_by_key(|it| shortest(it.1)).map(|it| it.0);
+            let Some(position) = next else { return };
+            let index = self.unplaced.swap_remove(position);
             let prefix = self.requests[index].arrival.prefix;
             let best = free.into_iter().min_by_key(|it| {
                 let engine = &self.engines[*it];
-                (engine.slowness, !engine.holds(prefix), engine.backlog())
+                (engine.slowness, !engine.has_prefix(prefix), engine.backlog())
             });
             if let Some(engine) = best {
                 self.requests[index].sent_us = now;
@@ -432,7 +432,7 @@
 
 fn call(request: &Request) -> Call<'_> {
     let class = request.arrival.class;
-    let prompt = f64::from(class.prompt) / PROMPT_UNITS;
+    let prompt = f64::from(class.prompt) / PROMPT_PER_UNIT;
     let work = f64::from(class.output) + prompt;
     let prefix_work = work * 0.5;
     Call {
@@ -460,7 +460,7 @@
     router.set_members(&members);
     Instance {
         router,
-        gate: Gate::new(CEILING),
+        gate: Gate::new(MAX_IN_FLIGHT),
         retries: RetryBudget::new(),
         times: vec![Times::new(); setup.user.classes.len()],
         waiting: HashMap::new(),
--- a/crates/holdpoint-emulator/src/policies/workload.rs
+++ b/crates/holdpoint-emulator/src/policies/workload.rs
@@ -1,4 +1,4 @@
-//! The two users' workloads, from their sizes.
+//! Workloads of the two example users.
 
 use rand::{Rng, RngExt};
 
@@ -7,25 +7,25 @@
 pub struct Class {
     /// Relative frequency.
     pub weight: u32,
-    /// Prompt, in tokens.
+    /// Prompt length, in tokens.
     pub prompt: u32,
-    /// Generated, in tokens.
+    /// Output length, in tokens.
     pub output: u32,
-    /// Patience, in milliseconds.
-    pub patience_ms: u64,
+    /// Time in which the caller expects the answer, in milliseconds.
+    pub timeout_ms: u64,
 }
 
-/// A user.
+/// A user's workload.
 #[derive(Debug)]
 pub struct User {
     /// Name.
     pub name: &'static str,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// One way between failure domains, in microseconds.
-    pub domain_us: u64,
-    /// Time of the stage before generation, in microseconds.
-    pub before_us: u64,
+    /// One-way network delay between failure domains, in microseconds.
+    pub cross_domain_us: u64,
+    /// Duration of the stage before generation, in microseconds.
+    pub pre_stage_us: u64,
     /// Classes of requests.
     pub classes: &'static [Class],
     /// Relative sizes of the organisations.
@@ -36,43 +36,43 @@
 pub const PRAIRIE: User = User {
     name: "prairie-cellars",
     engines: 12,
-    domain_us: 500,
-    before_us: 15_000,
+    cross_domain_us: 500,
+    pre_stage_us: 15_000,
     classes: &[
-        Class { weight: 70, prompt: 120, output: 16, patience_ms: 2000 },
-        Class { weight: 20, prompt: 300, output: 48, patience_ms: 4000 },
-        Class { weight: 10, prompt: 900, output: 96, patience_ms: 8000 },
+        Class { weight: 70, prompt: 120, output: 16, timeout_ms: 2000 },
+        Class { weight: 20, prompt: 300, output: 48, timeout_ms: 4000 },
+        Class { weight: 10, prompt: 900, output: 96, timeout_ms: 8000 },
     ],
     organisations: [50, 20, 10, 10, 10],
 };
 
-/// Armor: live answers and, for a part, long planning histories.
+/// Armor: interactive answers and a share of long planning prompts.
 pub const ARMOR: User = User {
     name: "armor",
     engines: 18,
-    domain_us: 1000,
-    before_us: 20_000,
+    cross_domain_us: 1000,
+    pre_stage_us: 20_000,
     classes: &[
-        Class { weight: 50, prompt: 150, output: 16, patience_ms: 2000 },
-        Class { weight: 25, prompt: 400, output: 48, patience_ms: 4000 },
-        Class { weight: 25, prompt: 4000, output: 96, patience_ms: 8000 },
+        Class { weight: 50, prompt: 150, output: 16, timeout_ms: 2000 },
+        Class { weight: 25, prompt: 400, output: 48, timeout_ms: 4000 },
+        Class { weight: 25, prompt: 4000, output: 96, timeout_ms: 8000 },
     ],
     organisations: [40, 30, 15, 10, 5],
 };
 
-/// Prefixes that prompts share.
+/// Number of distinct prompt prefixes.
 const PREFIXES: u64 = 60;
-/// A burst comes every so many microseconds.
+/// Interval between the starts of bursts.
 const BURST_EVERY_US: u64 = 4_000_000;
-/// Length of a burst, in microseconds.
+/// Duration of a burst.
 const BURST_US: u64 = 600_000;
-/// Arrivals in a burst against the others.
+/// Ratio of the arrival rate in a burst to the rate outside of it.
 const BURST_FACTOR: f64 = 2.0;
 
 /// One request as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
-    /// When, in microseconds.
+    /// Arrival time, in microseconds.
     pub at_us: u64,
     /// Class.
     pub class: Class,
@@ -82,11 +82,11 @@
     pub organisation: usize,
     /// Prefix of the prompt.
     pub prefix: u64,
-    /// Instance that the balancer sends it to.
+    /// Index of the instance that receives it.
     pub instance: usize,
 }
 
-/// Arrivals of a user at a mean rate a second, in order.
+/// Draws the arrivals of a user in order of time, at a mean `rate` per second.
 pub(crate) fn arrivals(
     user: &User,
     rate: f64,
@@ -99,8 +99,8 @@
     let mut all = Vec::new();
     let mut at = 0.0;
     loop {
-        let in_burst = (at as u64) % BURST_EVERY_US < BURST_US;
-        let now = if in_burst { calm * BURST_FACTOR } else { calm };
+        let is_burst = (at as u64) % BURST_EVERY_US < BURST_US;
+        let now = if is_burst { calm * BURST_FACTOR } else { calm };
         at += -(1.0 - rng.random::<f64>()).ln() * 1e6 / now;
         if seconds * 1_000_000 <= at as u64 {
             return all;
@@ -112,7 +112,7 @@
             class: user.classes[kind],
             kind,
             organisation: pick(&user.organisations, rng),
-            // Few prefixes are common and many are rare.
+            // Skewed: a few prefixes are common, most are rare.
             prefix: (PREFIXES as f64 * rng.random::<f64>().powi(3)) as u64,
             instance: rng.random_range(0..instances),
         });
@@ -121,13 +121,13 @@
 
 fn pick(weights: &[u32], rng: &mut impl Rng) -> usize {
     let total: u32 = weights.iter().sum();
-    let mut place = rng.random_range(0..total);
+    let mut offset = rng.random_range(0..total);
     weights
         .iter()
         .position(|it| {
-            let here = place < *it;
-            place = place.saturating_sub(*it);
-            here
+            let is_hit = offset < *it;
+            offset = offset.saturating_sub(*it);
+            is_hit
         })
         .unwrap_or(0)
 }
