--- a/crates/holdpoint-emulator/src/faults.rs
+++ b/crates/holdpoint-emulator/src/faults.rs
@@ -58,7 +58,7 @@
     LogOutage,
     /// The log takes 150 ms per call.
     LogSlow,
-    /// Appends to the log take effect, but their answers are lost.
+    /// The next 30 appends to the log take effect, but their answers are lost.
     LogLostAnswers,
     /// The instance list no longer changes.
     StaleList,
--- a/crates/holdpoint-emulator/src/policies/run.rs
+++ b/crates/holdpoint-emulator/src/policies/run.rs
@@ -31,7 +31,7 @@
 const REFUSAL_DELAY_US: u64 = 3000;
 /// Maximum attempts per request.
 const MAX_ATTEMPTS: usize = 4;
-/// Bytes of prompt that make one unit of work against tokens generated, as in the daemon.
+/// Prompt tokens that count as one unit of work; a generated token counts as one.
 const PROMPT_PER_UNIT: f64 = 40.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/holdpoint-emulator/src/world.rs
+++ b/crates/holdpoint-emulator/src/world.rs
@@ -285,7 +285,7 @@
         self.operator(index).put(kind, name, spec, form).await
     }
 
-    /// Waits until a condition holds, for about ten seconds at most.
+    /// Waits until a condition holds, for about ten seconds.
     ///
     /// # Panics
     ///
@@ -297,7 +297,7 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("timed out after 10 s waiting until {what}");
+        panic!("timed out after about 10 s waiting until {what}");
     }
 
     fn settings_of(&self, name: &str, domain: &str) -> Settings {
