--- a/crates/holdpoint-soak/src/callers.rs
+++ b/crates/holdpoint-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each keeps its connection in use until its process is gone.
+//! Simulated callers: each reuses a connection until it closes or a request on it is abandoned.
 
 use std::{
     net::SocketAddr,
@@ -24,27 +24,27 @@
 
 use crate::{Millis, fleet::Clock, verdict::EVENTS};
 
-/// How long a caller waits for an answer at the most; its request says 2 s.
-const PATIENCE: Duration = Duration::from_millis(3500);
-/// How long a caller waits who leaves early.
-const EARLY: Duration = Duration::from_millis(30);
-/// One in so many requests is left early.
-const LEAVES_EVERY: u32 = 25;
-/// Pause of a caller who was not served.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Longest wait for a connection or an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Timeout of the requests that callers cancel early.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(30);
+/// One request in this many, on average, has the short timeout.
+const CANCEL_INTERVAL: u32 = 25;
+/// Pause after a failed connection or a request without a 200 response.
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// A route of the sample configuration.
+/// Route of the sample configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// May be repeated.
+    /// Single response; may be retried.
     Safe,
-    /// At most once.
+    /// Single response; runs at most once.
     Unsafe,
-    /// A stream that may be resumed.
+    /// Stream that may be resumed.
     Story,
-    /// A stream that may not.
+    /// Stream that must not be resumed.
     Once,
-    /// A stream that may be resumed, after two stages.
+    /// Resumable stream that follows two pipeline stages.
     Staged,
 }
 
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether its answer is one whole body, not a stream.
-    pub(crate) fn has_whole_answer(self) -> bool {
+    /// Whether the answer is a single body rather than a stream.
+    pub(crate) fn is_unary(self) -> bool {
         matches!(self, Route::Safe | Route::Unsafe)
     }
 }
@@ -68,57 +68,57 @@
 /// How a request ended for its caller.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// With an answer, whose body may have been cut off.
+    /// An answer arrived; its body may be truncated.
     Answer {
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Signature of the target that answered.
+        /// Signature of the target that answered, if a target did.
         signature: Option<String>,
-        /// Body, as far as it came.
+        /// Body bytes received.
         body: Bytes,
-        /// Whether it came to its end.
-        is_whole: bool,
+        /// Whether the body was received to its end.
+        is_complete: bool,
     },
-    /// The connection closed without the head of an answer.
+    /// The connection closed before the response head.
     Closed,
-    /// The caller left.
-    Left,
-    /// Nothing came in time.
-    Silent,
+    /// The caller cancelled the request.
+    Cancelled,
+    /// No complete answer arrived before the caller's timeout.
+    TimedOut,
 }
 
-/// One request of one caller.
+/// A request of a caller and its outcome.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Id of the request.
+    /// Request id.
     pub id: String,
-    /// Route that it was sent on.
+    /// Route of the request.
     pub route: Route,
-    /// Process that it was sent to.
+    /// Index of the process that received it.
     pub process: usize,
     /// When it was sent.
     pub sent: Millis,
-    /// When its end was seen.
+    /// When its outcome was known.
     pub ended: Millis,
-    /// How it ended.
+    /// Outcome.
     pub outcome: Outcome,
 }
 
 impl Attempt {
-    /// Request line that a target must see.
-    pub fn line(&self) -> String {
+    /// Method and path that a target must receive.
+    pub fn request_line(&self) -> String {
         format!("POST {}", self.route.path())
     }
 
-    /// Whether it ended with an answer of a target.
+    /// Whether the answer carries the signature of `target` for this request.
     pub fn is_answered_by(&self, target: &str) -> bool {
         let stamp = format!("stamp-{target}-{}", self.id);
         matches!(&self.outcome, Outcome::Answer { signature: Some(it), .. } if *it == stamp)
     }
 
-    /// Body of a whole answer.
-    pub fn expected(&self) -> Bytes {
-        if self.route.has_whole_answer() {
+    /// Body that a complete successful answer must have.
+    pub fn expected_body(&self) -> Bytes {
+        if self.route.is_unary() {
             return Bytes::from(self.id.clone());
         }
         Bytes::from(
@@ -127,11 +127,11 @@
     }
 }
 
-/// What callers share.
+/// State shared by all callers.
 pub(crate) struct Callers {
     pub(crate) seed: u64,
     pub(crate) clock: Clock,
-    /// Callers' addresses of the processes; none while one is down.
+    /// Caller-facing addresses by process; `None` while a process is down.
     pub(crate) addresses: Vec<Mutex<Option<SocketAddr>>>,
     pub(crate) attempts: Mutex<Vec<Attempt>>,
     pub(crate) is_over: AtomicBool,
@@ -149,7 +149,7 @@
             None => None,
         };
         let Some(mut sender) = connected else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
         while sender.ready().await.is_ok() && !callers.is_over.load(Ordering::Acquire) {
@@ -163,25 +163,25 @@
                 Route::Once,
                 Route::Staged,
             ][rng.random_range(0..6)];
-            let leaves = rng.random_range(0..LEAVES_EVERY) == 0;
+            let is_cancelled = rng.random_range(0..CANCEL_INTERVAL) == 0;
             let sent = callers.clock.now();
-            let outcome = attempt(&mut sender, &id, route, leaves).await;
-            let is_left = matches!(outcome, Outcome::Left | Outcome::Silent);
+            let outcome = attempt(&mut sender, &id, route, is_cancelled).await;
+            let is_abandoned = matches!(outcome, Outcome::Cancelled | Outcome::TimedOut);
             let is_served = matches!(outcome, Outcome::Answer { status: 200, .. });
             let ended = callers.clock.now();
             callers.attempts.lock().push(Attempt { id, route, process, sent, ended, outcome });
-            if is_left {
+            if is_abandoned {
                 break;
             }
             if !is_served {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
 pub(crate) async fn connect(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let stream = timeout(PATIENCE, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(ANSWER_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move { drop(connection.await) });
     Some(sender)
@@ -191,17 +191,17 @@
     sender: &mut SendRequest<Full<Bytes>>,
     id: &str,
     route: Route,
-    leaves: bool,
+    is_cancelled: bool,
 ) -> Outcome {
     let mut request = CallerRequest::new(id, route.path()).with_body(id.to_owned());
     if route == Route::Staged {
         request = request.with_pieces("2,3").with_prompt("a:4000,b:4000,c:3000");
     }
-    let limit = if leaves { EARLY } else { PATIENCE };
+    let limit = if is_cancelled { CANCEL_TIMEOUT } else { ANSWER_TIMEOUT };
     match timeout(limit, exchange(sender, request)).await {
         Ok(it) => it,
-        Err(_) if leaves => Outcome::Left,
-        Err(_) => Outcome::Silent,
+        Err(_) if is_cancelled => Outcome::Cancelled,
+        Err(_) => Outcome::TimedOut,
     }
 }
 
@@ -210,8 +210,8 @@
     let (parts, body) = answer.into_parts();
     let signature = parts.headers.get(names::SIGNATURE);
     let signature = signature.and_then(|it| it.to_str().ok()).map(str::to_owned);
-    let (body, is_whole) = read(body).await;
-    Outcome::Answer { status: parts.status.as_u16(), signature, body, is_whole }
+    let (body, is_complete) = read(body).await;
+    Outcome::Answer { status: parts.status.as_u16(), signature, body, is_complete }
 }
 
 async fn read(mut body: Incoming) -> (Bytes, bool) {
--- a/crates/holdpoint-soak/src/faults.rs
+++ b/crates/holdpoint-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Makes the faults of a plan, each for its time; they overlap.
+//! Injects the faults of a plan, each at its time and for its duration; faults may overlap.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,106 +8,108 @@
 
 use crate::{
     fleet::{Fleet, domain_name, domain_of},
-    plan::{DOMAINS, Fault, Kind, Plan, TARGETS, TargetFault, Way},
+    plan::{DOMAINS, Fault, FaultKind, LinkFault, Plan, TARGETS, TargetFault},
     verdict::EVENTS,
 };
 
-/// How long a target that joins is cold, in milliseconds.
-const COLD_MS: u64 = 1000;
+/// Cold-start period of a replacement target.
+const COLD_START_MS: u64 = 1000;
 
-/// Plays all faults, then ends whatever still lasts.
+/// Injects all faults of the plan, then clears those that are still active.
 pub(crate) async fn play(fleet: &Arc<Fleet>, plan: &Plan) {
     let begun = fleet.clock.now();
-    let mut making = JoinSet::new();
+    let mut injecting = JoinSet::new();
     for fault in &plan.faults {
         let wait = (begun + fault.at).saturating_sub(fleet.clock.now());
         sleep(Duration::from_millis(wait)).await;
-        making.spawn(make(fleet.clone(), *fault));
+        injecting.spawn(inject(fleet.clone(), *fault));
     }
-    while making.join_next().await.is_some() {}
-    end_all(fleet);
+    while injecting.join_next().await.is_some() {}
+    clear_all(fleet);
 }
 
-async fn make(fleet: Arc<Fleet>, fault: Fault) {
-    let lasts = Duration::from_millis(fault.lasts);
+async fn inject(fleet: Arc<Fleet>, fault: Fault) {
+    let duration = Duration::from_millis(fault.duration);
     match fault.kind {
-        Kind::Stop(process) => fleet.signal(process, Signal::TERM),
-        Kind::Kill(process) => fleet.signal(process, Signal::KILL),
-        Kind::Reload(process) => fleet.signal(process, Signal::HUP),
-        Kind::Pause(process) => {
+        FaultKind::Stop(process) => fleet.signal(process, Signal::TERM),
+        FaultKind::Kill(process) => fleet.signal(process, Signal::KILL),
+        FaultKind::Reload(process) => fleet.signal(process, Signal::HUP),
+        FaultKind::Pause(process) => {
             fleet.signal(process, Signal::STOP);
-            sleep(lasts).await;
+            sleep(duration).await;
             fleet.signal(process, Signal::CONT);
         }
-        Kind::StoreLink(process, way) => strike(&fleet.store_links[process], way, lasts).await,
-        Kind::TargetLink(target, way) => {
+        FaultKind::StoreLink(process, link_fault) => {
+            fail_link(&fleet.store_links[process], link_fault, duration).await
+        }
+        FaultKind::TargetLink(target, link_fault) => {
             let from = fleet.clock.now();
-            strike(&fleet.targets[target].proxy, way, lasts).await;
-            fleet.struck_links.lock().push((target, from..=fleet.clock.now()));
+            fail_link(&fleet.targets[target].proxy, link_fault, duration).await;
+            fleet.failed_links.lock().push((target, from..=fleet.clock.now()));
         }
-        Kind::StoreAway { is_silent } => {
+        FaultKind::StoreOutage { is_silent } => {
             fleet.store.gate.set_outage(if is_silent { Outage::Silent } else { Outage::Busy });
-            sleep(lasts).await;
+            sleep(duration).await;
             fleet.store.gate.set_outage(Outage::None);
         }
-        Kind::StoreForgets => fleet.store.compact(),
-        Kind::Target(target, how) => {
+        FaultKind::StoreCompaction => fleet.store.compact(),
+        FaultKind::Target(target, how) => {
             fleet.targets[target].target.set_behaviour(behaviour(target, how));
-            sleep(lasts).await;
-            fleet.targets[target].target.set_behaviour(usual(target));
+            sleep(duration).await;
+            fleet.targets[target].target.set_behaviour(normal_behaviour(target));
         }
-        Kind::TargetLeaves(target) => replace(&fleet, target).await,
-        Kind::Evacuate(domain) => {
+        FaultKind::TargetDrains(target) => replace(&fleet, target).await,
+        FaultKind::Evacuate(domain) => {
             fleet.store.evacuate(&domain_name(domain));
-            sleep(lasts).await;
+            sleep(duration).await;
             fleet.store.restore(&domain_name(domain));
         }
-        Kind::Configure => fleet.configure(),
-        Kind::SaysLeaving(target) => {
+        FaultKind::Configure => fleet.configure(),
+        FaultKind::DrainNotice(target) => {
             fleet.targets[target].target.set_leaving(true);
-            sleep(lasts).await;
+            sleep(duration).await;
             replace(&fleet, target).await;
         }
-        Kind::AsksBackoff { target, ms } => {
+        FaultKind::BackoffNotice { target, ms } => {
             let target = &fleet.targets[target].target;
             target.set_shed(Some(Shed::for_rest(Duration::from_millis(ms))));
-            sleep(lasts).await;
+            sleep(duration).await;
             target.set_shed(None);
         }
-        Kind::Limit { target, per_10_s } => {
+        FaultKind::Limit { target, per_10_s } => {
             let target = &fleet.targets[target].target;
             target.set_limit(Some(f64::from(per_10_s) / 10.0));
-            sleep(lasts).await;
+            sleep(duration).await;
             target.set_limit(None);
         }
     }
 }
 
-async fn strike(link: &crate::proxy::Proxy, way: Way, lasts: Duration) {
-    link.set(Some(way));
-    sleep(lasts).await;
+async fn fail_link(link: &crate::proxy::Proxy, link_fault: LinkFault, duration: Duration) {
+    link.set(Some(link_fault));
+    sleep(duration).await;
     link.set(None);
 }
 
-/// A target leaves for good; another one of its service has joined before.
+/// Starts a replacement for a target in the same service, then marks the target as draining for good.
 async fn replace(fleet: &Fleet, target: usize) {
     let leaving = &fleet.targets[target].target;
-    let count = fleet.joined.lock().len();
+    let count = fleet.replacements.lock().len();
     let id = format!("i-joined-{target}-{count}-{}", fleet.clock.now());
-    let joined = Target::start(&id, &leaving.service, usual(target)).await;
-    // It comes cold, as after a start.
-    fleet.store.put_target_in(&joined, &domain_of(target), COLD_MS);
-    fleet.joined.lock().push(joined);
+    let replacement = Target::start(&id, &leaving.service, normal_behaviour(target)).await;
+    // A new target starts cold.
+    fleet.store.put_target_in(&replacement, &domain_of(target), COLD_START_MS);
+    fleet.replacements.lock().push(replacement);
     fleet.store.put_target(leaving, true);
 }
 
-fn end_all(fleet: &Fleet) {
+fn clear_all(fleet: &Fleet) {
     fleet.store.gate.set_outage(Outage::None);
     (0..DOMAINS).for_each(|it| fleet.store.restore(&domain_name(it)));
     fleet.store_links.iter().for_each(|it| it.set(None));
     for (index, it) in fleet.targets.iter().enumerate() {
         it.proxy.set(None);
-        it.target.set_behaviour(usual(index));
+        it.target.set_behaviour(normal_behaviour(index));
         it.target.set_limit(None);
         it.target.set_shed(None);
     }
@@ -116,7 +118,7 @@
     }
 }
 
-fn usual(target: usize) -> Behaviour {
+fn normal_behaviour(target: usize) -> Behaviour {
     match target / TARGETS {
         1 => Behaviour::Events(EVENTS),
         _ => Behaviour::Answer,
@@ -127,10 +129,10 @@
     match how {
         TargetFault::Declines => Behaviour::Decline,
         TargetFault::Fails => Behaviour::Fail,
-        TargetFault::Cuts => Behaviour::RunAndCut,
+        TargetFault::Disconnects => Behaviour::RunAndCut,
         TargetFault::Hangs => Behaviour::RunAndHang,
-        TargetFault::Crosses => Behaviour::Cross,
-        TargetFault::Breaks if target / TARGETS == 1 => Behaviour::BreakAfter(2),
-        TargetFault::Breaks => Behaviour::CutBody,
+        TargetFault::SwapsId => Behaviour::Cross,
+        TargetFault::Truncates if target / TARGETS == 1 => Behaviour::BreakAfter(2),
+        TargetFault::Truncates => Behaviour::CutBody,
     }
 }
--- a/crates/holdpoint-soak/src/fleet.rs
+++ b/crates/holdpoint-soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a soak, with the stand-ins that they work with.
+//! The daemon processes of a soak and the stand-ins that they talk to.
 
 use std::{
     collections::HashSet,
@@ -30,24 +30,24 @@
     notices::{Arrival, Notices, judge_notices},
     plan::{DOMAINS, ENCODERS, Plan, TARGETS},
     proxy::Proxy,
-    verdict::{EVENTS, Finding, Kills, Promise, Verdict, judge},
+    verdict::{EVENTS, EventTimes, Finding, Invariant, Verdict, judge},
 };
 
-/// Pause between the end of a process and its next start.
-const RESTART: Duration = Duration::from_millis(100);
-/// How long processes may take to serve everything again after the last fault.
-const RECOVERY: Duration = Duration::from_secs(20);
-/// How long after a process has passed on an answer that names a limit it is held to that.
-const LIMIT_SETTLES: Millis = 500;
-/// Mark before the address in the line that a process writes at its start.
+/// Delay before a process that has ended is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
+/// Time limit for a process to serve requests again, at the start and after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay after an answer that states a limit before the process must respect it.
+const LIMIT_GRACE_MS: Millis = 500;
+/// Key of the caller-facing address in the start-up log line of a process.
 const ADDRESS_MARK: &str = "callers=";
 
-/// The daemon cannot be started.
+/// The soak or one of its daemon processes could not be started.
 #[derive(Debug)]
 pub struct CannotStart {
-    /// Path of the program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// Why.
+    /// Underlying I/O error.
     pub cause: io::Error,
 }
 
@@ -59,7 +59,7 @@
 
 impl std::error::Error for CannotStart {}
 
-/// Programs that are run.
+/// Daemon executables to run and where to keep their logs.
 #[derive(Clone, Debug)]
 pub struct Builds {
     daemon: PathBuf,
@@ -68,33 +68,34 @@
 }
 
 impl Builds {
-    /// One build for all processes.
+    /// Uses one build for all processes.
     pub fn new(daemon: impl Into<PathBuf>) -> Builds {
         Builds { daemon: daemon.into(), former: None, logs: None }
     }
 
-    /// Has every second process, and every second life of each, run a former build.
+    /// Alternates with a former build, both between neighbouring processes and between the
+    /// restarts of a process.
     pub fn with_former(mut self, former: Option<PathBuf>) -> Builds {
         self.former = former;
         self
     }
 
-    /// Has what processes write kept in a folder, a file for each seed and process.
+    /// Keeps the logs of processes in a folder, one file per seed and process.
     pub fn with_logs(mut self, logs: Option<PathBuf>) -> Builds {
         self.logs = logs;
         self
     }
 
-    /// Opens the file that keeps what a process writes.
+    /// Creates the log file of a process, if logs are kept.
     fn log_of(&self, seed: u64, process: usize) -> Option<File> {
         let path = self.logs.as_ref()?.join(format!("{seed}-p{process}.log"));
-        // Without it the soak is judged all the same.
+        // Logs are optional: the soak is judged without them.
         File::create(path).ok()
     }
 
-    /// The program of a process in one of its lives.
-    fn program(&self, process: usize, life: usize) -> &Path {
-        let former = self.former.as_ref().filter(|_| (process + life) % 2 == 1);
+    /// Executable for an incarnation of a process.
+    fn program(&self, process: usize, incarnation: usize) -> &Path {
+        let former = self.former.as_ref().filter(|_| (process + incarnation) % 2 == 1);
         former.unwrap_or(&self.daemon)
     }
 }
@@ -108,35 +109,35 @@
         self.0.elapsed().as_millis() as Millis
     }
 
-    /// A moment, as this clock counts.
+    /// Converts an instant to the time of this clock.
     pub(crate) fn at(self, moment: Instant) -> Millis {
         moment.saturating_duration_since(self.0).as_millis() as Millis
     }
 }
 
-/// A target behind a proxy of its own.
+/// Target that is reached through its own proxy.
 pub(crate) struct ProxiedTarget {
     pub(crate) target: Target,
     pub(crate) proxy: Proxy,
 }
 
-/// All that faults strike.
+/// Processes, stand-ins and links that faults act on.
 pub(crate) struct Fleet {
     pub(crate) clock: Clock,
     pub(crate) store: Store,
-    /// Way of each process to the store.
+    /// Proxy between each process and the store.
     pub(crate) store_links: Vec<Proxy>,
     /// Plain targets, model targets, encoders, in this order.
     pub(crate) targets: Vec<ProxiedTarget>,
-    /// Targets that have joined for those that left.
-    pub(crate) joined: Mutex<Vec<Target>>,
+    /// Targets that replaced drained ones.
+    pub(crate) replacements: Mutex<Vec<Target>>,
     pub(crate) version: Mutex<u64>,
-    pub(crate) kills: Mutex<Kills>,
-    /// When processes were stopped, killed, suspended, resumed or started, by process.
-    disturbances: Mutex<Kills>,
-    /// Links to targets that failed, and when.
-    pub(crate) struck_links: Mutex<Vec<(usize, RangeInclusive<Millis>)>>,
-    /// Ids of the processes that run.
+    pub(crate) kills: Mutex<EventTimes>,
+    /// When processes were stopped, killed, suspended or resumed, or ended, by process.
+    interruptions: Mutex<EventTimes>,
+    /// Index of the target and time span of each failure of a target's link.
+    pub(crate) failed_links: Mutex<Vec<(usize, RangeInclusive<Millis>)>>,
+    /// Process ids; `None` while a process is down.
     pids: Vec<Mutex<Option<Pid>>>,
     settings: Vec<PathBuf>,
     callers: Arc<Callers>,
@@ -170,11 +171,11 @@
             store,
             store_links,
             targets,
-            joined: Mutex::default(),
+            replacements: Mutex::default(),
             version: Mutex::new(1),
             kills: Mutex::default(),
-            disturbances: Mutex::default(),
-            struck_links: Mutex::default(),
+            interruptions: Mutex::default(),
+            failed_links: Mutex::default(),
             pids: (0..plan.processes).map(|_| Mutex::default()).collect(),
             settings,
             callers: Arc::new(callers),
@@ -185,21 +186,21 @@
     pub(crate) fn signal(&self, process: usize, signal: Signal) {
         if let Some(pid) = *self.pids[process].lock() {
             if signal != Signal::HUP {
-                self.disturb(process);
+                self.record_interruption(process);
             }
             if signal == Signal::KILL {
                 self.kills.lock().entry(process).or_default().push(self.clock.now());
             }
-            // A process that has just ended needs no signal.
+            // Fails if the process has just ended, which is harmless.
             let _ = kill_process(pid, signal);
         }
     }
 
-    fn disturb(&self, process: usize) {
-        self.disturbances.lock().entry(process).or_default().push(self.clock.now());
+    fn record_interruption(&self, process: usize) {
+        self.interruptions.lock().entry(process).or_default().push(self.clock.now());
     }
 
-    /// Writes a configuration that adds a key of its own.
+    /// Publishes a new configuration with an API key that only this version accepts.
     pub(crate) fn configure(&self) {
         let mut version = self.version.lock();
         *version += 1;
@@ -209,7 +210,7 @@
     }
 }
 
-/// The sample, with targets that carry a few requests a second while they are cold.
+/// Sample configuration in which cold targets receive only a limited rate of requests.
 fn configuration(version: u64) -> serde_json::Value {
     let mut configuration = sample_configuration(version);
     for service in 0..2 {
@@ -260,7 +261,11 @@
     Ok(path)
 }
 
-/// Plays a plan with processes of some builds, and judges it.
+/// Runs a plan with processes of the given builds and returns the verdict.
+///
+/// # Errors
+///
+/// Fails if the working folder, a settings file or a process cannot be created.
 pub async fn run(plan: &Plan, builds: &Builds) -> Result<Verdict, CannotStart> {
     let cannot_start = |cause| CannotStart { program: builds.daemon.clone(), cause };
     let folder =
@@ -279,20 +284,20 @@
     findings.extend(recover(&fleet).await);
     fleet.callers.is_over.store(true, Ordering::Release);
     for it in sending {
-        // A caller that failed has no more to tell.
+        // The attempts of a caller that panicked are already recorded.
         drop(it.await);
     }
     processes.iter().for_each(tokio::task::JoinHandle::abort);
     let verdict = conclude(plan, &fleet, findings);
-    // What is left of a folder in the place for temporary files harms nobody.
+    // A leftover temporary folder is harmless.
     drop(std::fs::remove_dir_all(&folder));
     Ok(verdict)
 }
 
 fn conclude(plan: &Plan, fleet: &Fleet, mut findings: Vec<Finding>) -> Verdict {
     let attempts: Vec<Attempt> = std::mem::take(&mut *fleet.callers.attempts.lock());
-    let joined = fleet.joined.lock().clone();
-    let targets = fleet.targets.iter().map(|it| &it.target).chain(&joined);
+    let replacements = fleet.replacements.lock().clone();
+    let targets = fleet.targets.iter().map(|it| &it.target).chain(&replacements);
     let runs: Vec<_> = targets
         .map(|it| {
             let of_soak = it.runs().into_iter().filter(|run| !run.request.starts_with(PROBE));
@@ -304,7 +309,7 @@
     findings.extend(fleet.targets.iter().filter_map(over_limit));
     findings.extend(notice_findings(fleet, &attempts));
     let status = |it: &Attempt| match &it.outcome {
-        Outcome::Answer { status, is_whole: true, .. } => *status,
+        Outcome::Answer { status, is_complete: true, .. } => *status,
         _ => 0,
     };
     Verdict {
@@ -318,20 +323,21 @@
     }
 }
 
-/// A target that got more than it named as its limit from processes that it had told.
+/// Reports a target that received more than its limit from processes that knew the limit.
 fn over_limit(fleet: &Fleet, it: &ProxiedTarget, attempts: &[Attempt]) -> Option<Finding> {
     let clock = fleet.clock;
-    let disturbances = fleet.disturbances.lock();
-    let told = told_limits(&it.target, attempts);
+    let interruptions = fleet.interruptions.lock();
+    let notified = limit_notices(&it.target, attempts);
     let attempt = |id: &str| attempts.iter().find(|it| it.id == id);
-    // A process that has just started has no such answer yet, and is excused.
+    // Excludes processes that have not received the limit since their last interruption.
     let excess = it.target.limit_excess_of(|arrival| {
         let Some(by) = attempt(&arrival.request) else { return true };
         let at = clock.at(arrival.at);
-        let its = disturbances.get(&by.process).into_iter().flatten();
+        let its = interruptions.get(&by.process).into_iter().flatten();
         let since = its.filter(|it| **it <= at).max().copied().unwrap_or(0);
-        let is_told = |told: &&Attempt| since <= told.sent && told.ended + LIMIT_SETTLES <= at;
-        told.iter().filter(|it| it.process == by.process).any(is_told)
+        let is_notified =
+            |notified: &&Attempt| since <= notified.sent && notified.ended + LIMIT_GRACE_MS <= at;
+        notified.iter().filter(|it| it.process == by.process).any(is_notified)
     })?;
     let arrivals = it.target.notices().into_iter();
     let arrivals = arrivals.filter(|it| (excess.from..=excess.to).contains(&it.at)).map(|it| {
@@ -339,28 +345,32 @@
         format!("{} {from} {}", clock.at(it.at), it.request)
     });
     let arrivals: Vec<String> = arrivals.collect();
-    let seen = format!("{excess}: {}", arrivals.join(", "));
+    let detail = format!("{excess}: {}", arrivals.join(", "));
     let (id, at) = (it.target.id.clone(), clock.at(excess.from));
-    Some(Finding { promise: Promise::Limited, id, at, seen })
+    Some(Finding { invariant: Invariant::WithinLimit, id, at, detail })
 }
 
-/// Requests whose answers have told their processes that a target names a limit.
-fn told_limits<'a>(target: &Target, attempts: &'a [Attempt]) -> Vec<&'a Attempt> {
+/// Requests whose answers carried the target's limit to their processes.
+fn limit_notices<'a>(target: &Target, attempts: &'a [Attempt]) -> Vec<&'a Attempt> {
     let named = target.notices().into_iter().filter(|it| it.names_limit);
     let named: HashSet<String> = named.map(|it| it.request).collect();
-    let told = attempts.iter().filter(|it| named.contains(&it.id));
-    told.filter(|it| it.is_answered_by(&target.id)).collect()
+    let notified = attempts.iter().filter(|it| named.contains(&it.id));
+    notified.filter(|it| it.is_answered_by(&target.id)).collect()
 }
 
-/// Requests that reached targets which had said that they want none.
+/// Requests that reached targets after a drain or backoff notice.
 fn notice_findings(fleet: &Fleet, attempts: &[Attempt]) -> Vec<Finding> {
-    let struck = fleet.struck_links.lock();
-    let disturbances = fleet.disturbances.lock();
+    let failed = fleet.failed_links.lock();
+    let interruptions = fleet.interruptions.lock();
     let of_target = |(index, it): (usize, &ProxiedTarget)| {
         let arrivals = it.target.notices().into_iter();
         let arrivals = arrivals.map(|it| Arrival::new(fleet.clock.at(it.at), it)).collect();
-        let cuts = struck.iter().filter(|it| it.0 == index).map(|it| it.1.clone()).collect();
-        judge_notices(&Notices { target: &it.target.id, arrivals, cuts }, attempts, &disturbances)
+        let outages = failed.iter().filter(|it| it.0 == index).map(|it| it.1.clone()).collect();
+        judge_notices(
+            &Notices { target: &it.target.id, arrivals, outages },
+            attempts,
+            &interruptions,
+        )
     };
     fleet.targets.iter().enumerate().flat_map(of_target).collect()
 }
@@ -377,15 +387,15 @@
     Ok(child)
 }
 
-/// Reads what a process writes until it ends, then starts it again, for good.
+/// Reads the log of a process until it ends and restarts it, until a start fails.
 async fn supervise(fleet: Arc<Fleet>, builds: Builds, index: usize, mut child: Child) {
     let mut log = builds.log_of(fleet.callers.seed, index);
-    for life in 1.. {
+    for incarnation in 1.. {
         if let Some(lines) = child.stderr.take() {
             let mut lines = BufReader::new(lines).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 if let Some(it) = &mut log {
-                    // What cannot be kept is missing there, and nothing else.
+                    // A failed write only loses the log line.
                     let _ = writeln!(it, "{} {line}", fleet.clock.now());
                 }
                 let address = line.split_once(ADDRESS_MARK).filter(|_| line.contains("E100"));
@@ -395,32 +405,32 @@
             }
         }
         *fleet.callers.addresses[index].lock() = None;
-        fleet.disturb(index);
-        // Its id may be given to another process from now on.
+        fleet.record_interruption(index);
+        // The system may reuse the process id once the process is reaped.
         *fleet.pids[index].lock() = None;
         drop(child.wait().await);
-        tokio::time::sleep(RESTART).await;
-        match start_process(&fleet, builds.program(index, life), index) {
+        tokio::time::sleep(RESTART_DELAY).await;
+        match start_process(&fleet, builds.program(index, incarnation), index) {
             Ok(it) => child = it,
             Err(_) => return,
         }
     }
 }
 
-/// Start of the ids of requests that ask whether a process has recovered.
+/// Prefix of the ids of requests that check whether a process has recovered.
 const PROBE: &str = "probe-";
 
-/// Waits until each process serves with the newest configuration; names those that do not.
+/// Waits until each process serves with the newest configuration; reports those that time out.
 async fn recover(fleet: &Fleet) -> Vec<Finding> {
     let begun = fleet.clock.now();
     let mut findings = Vec::new();
     for process in 0..fleet.pids.len() {
-        let recovered = tokio::time::timeout(RECOVERY, until_serving(fleet, process)).await;
+        let recovered = tokio::time::timeout(RECOVERY_TIMEOUT, until_serving(fleet, process)).await;
         if recovered.is_err() {
             let id = format!("p{process}");
             let version = *fleet.version.lock();
-            let seen = format!("does not serve with configuration {version}");
-            findings.push(Finding { promise: Promise::Recovered, id, at: begun, seen });
+            let detail = format!("does not serve with configuration {version}");
+            findings.push(Finding { invariant: Invariant::Recovered, id, at: begun, detail });
         }
     }
     findings
--- a/crates/holdpoint-soak/src/lib.rs
+++ b/crates/holdpoint-soak/src/lib.rs
@@ -1,13 +1,12 @@
-//! A randomized soak of the platform's ingress: real processes of the daemon before stand-ins of
-//! the platform, under faults from outside that come in series and overlap.
+//! Randomized soak test of the platform's ingress: real daemon processes run against stand-ins of
+//! the platform while external faults are injected, repeatedly and concurrently.
 //!
-//! A seed gives a [`Plan`]: how many processes and callers, and which faults at which moments. The
-//! promises are judged by what callers and targets have seen, never by what the processes say of
-//! themselves: nothing that may run once runs twice, nothing reported as not run has run, no answer
-//! is another request's or looks whole when it is not, no planned stop cuts off what has run, and
-//! after the last fault every process serves the newest configuration.
+//! A seed determines a [`Plan`]: the number of processes and callers, and the schedule of faults.
+//! The [`Invariant`]s are checked against what callers and targets observe, never against what the
+//! processes report about themselves.
 //!
-//! Not covered: steps of the time of day (the daemon reads none) and cuts between peers.
+//! Not covered: wall-clock steps (the daemon does not read the wall clock) and partitions between
+//! peers.
 //!
 //! ```no_run
 //! use holdpoint_soak::{Builds, Plan, run};
@@ -31,8 +30,8 @@
     callers::{Attempt, Outcome, Route},
     fleet::{Builds, CannotStart, run},
     notices::{Arrival, Notices, judge_notices},
-    plan::{Fault, Kind, Plan, TargetFault, Way},
-    verdict::{Finding, Kills, Promise, Verdict, judge},
+    plan::{Fault, FaultKind, LinkFault, Plan, TargetFault},
+    verdict::{EventTimes, Finding, Invariant, Verdict, judge},
 };
 
 /// Milliseconds since the start of a soak.
--- a/crates/holdpoint-soak/src/notices.rs
+++ b/crates/holdpoint-soak/src/notices.rs
@@ -1,4 +1,4 @@
-//! Judges what processes sent to targets that had said they want nothing.
+//! Checks that processes respect the drain and backoff notices in targets' answers.
 
 use std::{collections::HashMap, ops::RangeInclusive};
 
@@ -7,26 +7,26 @@
 use crate::{
     Millis,
     callers::Attempt,
-    verdict::{Finding, Kills, Promise},
+    verdict::{EventTimes, Finding, Invariant},
 };
 
-/// From when on after an answer that says that its target leaves nothing new may arrive from its process.
+/// Time after a process forwards a drain notice in which new requests may still go to the target.
 const DRAIN_MS: Millis = 2000;
-/// How long after it has asked for a back-off a target may get what was under way.
-const UNDER_WAY_MS: Millis = 500;
-/// Requests that it may get after that.
-const MOST_IN_BACKOFF: usize = 2;
+/// Time after a backoff request in which requests in flight may still arrive.
+const IN_FLIGHT_MS: Millis = 500;
+/// Most requests per process that may arrive in the rest of the backoff.
+const MAX_IN_BACKOFF: usize = 2;
 
-/// A request that arrived at a target, and what its answer said.
+/// A request that arrived at a target, and the notices in its answer.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// When it arrived.
     pub at: Millis,
-    /// Id of the request; empty for a call of a process's own.
+    /// Request id; empty for calls that a process makes on its own behalf.
     pub request: String,
-    /// Whether the answer said that the target leaves.
+    /// Whether the answer announced that the target is draining.
     pub says_leaving: bool,
-    /// The back-off that the answer asked for.
+    /// Backoff requested by the answer, in milliseconds.
     pub backoff_ms: Option<Millis>,
 }
 
@@ -37,67 +37,70 @@
     }
 }
 
-/// What a target said, and what arrived there.
+/// Arrivals at a target with the notices that it sent.
 pub struct Notices<'a> {
     /// Id of the target.
     pub target: &'a str,
-    /// Requests that arrived, in their order.
+    /// Requests in order of arrival.
     pub arrivals: Vec<Arrival>,
-    /// When its link failed: answers were lost or late then.
-    pub cuts: Vec<RangeInclusive<Millis>>,
+    /// Time spans in which the target's link failed, so that answers may be lost or late.
+    pub outages: Vec<RangeInclusive<Millis>>,
 }
 
-/// Judges what arrived at a target. Calls for pieces are left out, since they tell no process.
+/// Checks the arrivals at a target against its notices. Arrivals without a matching attempt, such
+/// as calls for work items, are ignored.
 pub fn judge_notices(
     notices: &Notices<'_>,
     attempts: &[Attempt],
-    disturbances: &Kills,
+    interruptions: &EventTimes,
 ) -> Vec<Finding> {
     let attempts: HashMap<&str, &Attempt> =
         attempts.iter().map(|it| (it.id.as_str(), it)).collect();
     let of = |it: &Arrival| attempts.get(it.request.as_str()).copied();
-    let is_disturbed = |process: usize, span: RangeInclusive<Millis>| {
-        disturbances.get(&process).is_some_and(|its| its.iter().any(|it| span.contains(it)))
+    let is_interrupted = |process: usize, span: RangeInclusive<Millis>| {
+        interruptions.get(&process).is_some_and(|its| its.iter().any(|it| span.contains(it)))
     };
     let mut findings = Vec::new();
-    let mut told: HashMap<usize, Millis> = HashMap::new();
+    let mut notified: HashMap<usize, Millis> = HashMap::new();
     for attempt in notices.arrivals.iter().filter(|it| it.says_leaving).filter_map(of) {
         if attempt.is_answered_by(notices.target) {
-            let first = told.entry(attempt.process).or_insert(attempt.ended);
+            let first = notified.entry(attempt.process).or_insert(attempt.ended);
             *first = attempt.ended.min(*first);
         }
     }
     for arrival in &notices.arrivals {
         let Some(attempt) = of(arrival) else { continue };
-        let Some(told) = told.get(&attempt.process) else { continue };
-        let is_late = told + DRAIN_MS < attempt.sent;
-        if is_late && !is_disturbed(attempt.process, *told..=arrival.at) {
-            let seen = format!(
-                "reached {} from p{} although an answer passed on at {told} ms said that it leaves",
+        let Some(notified) = notified.get(&attempt.process) else { continue };
+        let is_late = notified + DRAIN_MS < attempt.sent;
+        if is_late && !is_interrupted(attempt.process, *notified..=arrival.at) {
+            let detail = format!(
+                "reached {} from p{} although an answer forwarded at {notified} ms had announced draining",
                 notices.target, attempt.process
             );
             let (id, at) = (arrival.request.clone(), attempt.sent);
-            findings.push(Finding { promise: Promise::Drained, id, at, seen });
+            findings.push(Finding { invariant: Invariant::Drained, id, at, detail });
         }
     }
     for asked in &notices.arrivals {
         let (Some(ms), Some(by)) = (asked.backoff_ms, of(asked)) else { continue };
         let span = asked.at..=asked.at + ms;
-        let is_cut =
-            notices.cuts.iter().any(|it| it.start() <= span.end() && span.start() <= it.end());
-        if is_cut || is_disturbed(by.process, span) {
+        let is_lossy =
+            notices.outages.iter().any(|it| it.start() <= span.end() && span.start() <= it.end());
+        if is_lossy || is_interrupted(by.process, span) {
             continue;
         }
         let in_backoff = |it: &&Arrival| {
-            (asked.at + UNDER_WAY_MS..asked.at + ms).contains(&it.at)
+            (asked.at + IN_FLIGHT_MS..asked.at + ms).contains(&it.at)
                 && of(it).is_some_and(|it| it.process == by.process)
         };
         let count = notices.arrivals.iter().filter(in_backoff).count();
-        if MOST_IN_BACKOFF < count {
-            let seen =
-                format!("{} asked p{} for {ms} ms and got {count}", notices.target, by.process);
+        if MAX_IN_BACKOFF < count {
+            let detail = format!(
+                "{} asked p{} for {ms} ms of backoff and got {count} requests",
+                notices.target, by.process
+            );
             let (id, at) = (asked.request.clone(), asked.at);
-            findings.push(Finding { promise: Promise::BackedOff, id, at, seen });
+            findings.push(Finding { invariant: Invariant::BackedOff, id, at, detail });
         }
     }
     findings
--- a/crates/holdpoint-soak/src/plan.rs
+++ b/crates/holdpoint-soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed stands for: processes, callers, and faults at their moments.
+//! Plan of a soak, drawn from a seed: processes, callers and the schedule of faults.
 
 use std::time::Duration;
 
@@ -7,153 +7,155 @@
 
 use crate::Millis;
 
-/// Plain targets and model targets, each.
+/// Number of plain targets, and of model targets.
 pub(crate) const TARGETS: usize = 3;
-/// Targets that make results of stages.
+/// Number of targets that run the encoding stages.
 pub(crate) const ENCODERS: usize = 2;
-/// Failure domains.
+/// Number of failure domains.
 pub(crate) const DOMAINS: usize = 3;
-/// Mean time between two faults or series of faults, in milliseconds.
-const FAULT_EVERY: Millis = 250;
-/// Longest time that a fault lasts, in milliseconds.
-const LONGEST_FAULT: Millis = 1500;
-/// Targets that name a limit in a soak, at most.
-const LIMITS: usize = 3;
-/// Limits that they name, in requests in ten seconds.
+/// Mean time between two faults or series of faults.
+const FAULT_INTERVAL_MS: Millis = 250;
+/// Upper bound on the duration of a fault.
+const MAX_FAULT_MS: Millis = 1500;
+/// Number of limit announcements in a soak.
+const LIMIT_COUNT: usize = 3;
+/// Limits that targets announce, in requests per ten seconds.
 const LIMITS_PER_10_S: [u32; 5] = [0, 5, 10, 50, 200];
-/// Shortest time for which they do, in milliseconds.
-const SHORTEST_LIMIT: Millis = 1500;
-/// Limits are drawn by themselves, so that the other faults of a seed stay what they are.
+/// Shortest time for which a limit is announced.
+const MIN_LIMIT_MS: Millis = 1500;
+/// Random stream for limits, kept apart so that the other faults of a seed do not depend on it.
 const LIMITS_STREAM: u64 = 1;
-/// Targets that say in their answers that they leave, and targets that ask for a back-off, at most, in a soak.
-const LEAVES: usize = 2;
-const BACKOFFS: usize = 4;
-/// Back-offs that they ask for, in milliseconds.
+/// Number of drain notices in a soak.
+const DRAIN_COUNT: usize = 2;
+/// Number of backoff notices in a soak.
+const BACKOFF_COUNT: usize = 4;
+/// Backoffs that targets request.
 const BACKOFFS_MS: [Millis; 4] = [600, 1500, 3000, 5000];
-/// What targets say of themselves is drawn by itself, as limits are.
+/// Random stream for drain and backoff notices, kept apart as for limits.
 const NOTICES_STREAM: u64 = 2;
-/// Every so many seeds are large.
-const LARGE_EVERY: u64 = 10;
+/// Every seed that is a multiple of this gives a large soak.
+const LARGE_SEED_INTERVAL: u64 = 10;
 
 /// How a link fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Each part of what is sent is late by so many milliseconds.
+pub enum LinkFault {
+    /// Each chunk is delayed by this many milliseconds.
     Delay(Millis),
     /// All connections are reset.
     Reset,
-    /// What is sent towards the far side is lost.
-    CutTo,
-    /// What the far side sends is lost.
-    CutBack,
-    /// Nothing passes either way.
-    Silence,
+    /// Data sent to the server is dropped.
+    DropForward,
+    /// Data sent by the server is dropped.
+    DropReverse,
+    /// Data is dropped in both directions.
+    Blackhole,
 }
 
 /// How a target fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetFault {
-    /// It declines requests.
+    /// Declines requests without running them.
     Declines,
-    /// It runs requests and fails them.
+    /// Runs requests and answers with an error.
     Fails,
-    /// It runs requests and cuts the connection.
-    Cuts,
-    /// It runs requests and never answers.
+    /// Runs requests and closes the connection.
+    Disconnects,
+    /// Runs requests and never answers.
     Hangs,
-    /// It answers with the id of another request.
-    Crosses,
-    /// Its answers end early, or break off after some events.
-    Breaks,
+    /// Answers with the id of another request.
+    SwapsId,
+    /// Truncates answers, or ends streams after some events.
+    Truncates,
 }
 
-/// What happens.
+/// Kind of a fault or planned event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// A process is asked to stop as planned, and started again.
+pub enum FaultKind {
+    /// A process is stopped gracefully (SIGTERM) and restarted.
     Stop(usize),
-    /// A process is killed, and started again.
+    /// A process is killed (SIGKILL) and restarted.
     Kill(usize),
-    /// A process stands still.
+    /// A process is suspended (SIGSTOP) and resumed.
     Pause(usize),
-    /// A process is told that its settings have changed.
+    /// A process is asked to reload its settings (SIGHUP).
     Reload(usize),
-    /// The link of a process to the store fails.
-    StoreLink(usize, Way),
-    /// The link of all processes to a target fails.
-    TargetLink(usize, Way),
-    /// The store refuses all calls, or is silent.
-    StoreAway {
-        /// Whether it is silent.
+    /// The link between a process and the store fails.
+    StoreLink(usize, LinkFault),
+    /// The link between all processes and a target fails.
+    TargetLink(usize, LinkFault),
+    /// The store rejects all calls or does not answer.
+    StoreOutage {
+        /// Whether it does not answer, rather than rejecting calls.
         is_silent: bool,
     },
-    /// The store forgets its history.
-    StoreForgets,
+    /// The store compacts its history.
+    StoreCompaction,
     /// A target fails.
     Target(usize, TargetFault),
-    /// A target says that it leaves, and is back under the same id never again.
-    TargetLeaves(usize),
-    /// The operator evacuates a failure domain, and restores it.
+    /// A target is marked as draining in the store and never returns under the same id.
+    TargetDrains(usize),
+    /// The operator evacuates a failure domain and later restores it.
     Evacuate(usize),
-    /// The operator writes a configuration.
+    /// The operator publishes a configuration.
     Configure,
-    /// A target says in its answers that it leaves; its entry in the store says so only at the end.
-    SaysLeaving(usize),
-    /// A target turns all requests away and asks for a back-off.
-    AsksBackoff {
+    /// A target announces in its answers that it is draining; its store entry follows only at the
+    /// end of the fault.
+    DrainNotice(usize),
+    /// A target rejects all requests and requests a backoff.
+    BackoffNotice {
         /// The target.
         target: usize,
-        /// How long, in milliseconds.
+        /// Requested backoff, in milliseconds.
         ms: Millis,
     },
-    /// A target names a limit.
+    /// A target announces a rate limit.
     Limit {
         /// The target.
         target: usize,
-        /// Requests that it takes in ten seconds.
+        /// Limit, in requests per ten seconds.
         per_10_s: u32,
     },
 }
 
-/// A fault.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// When it begins.
+    /// Start time.
     pub at: Millis,
-    /// How long it lasts, where it lasts.
-    pub lasts: Millis,
-    /// What happens.
-    pub kind: Kind,
+    /// Duration in milliseconds; unused by instantaneous faults.
+    pub duration: Millis,
+    /// Kind of fault.
+    pub kind: FaultKind,
 }
 
-/// One soak.
+/// Plan of one soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Seed that it was drawn from.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers, each with one request at a time.
     pub callers: usize,
-    /// How long faults are made.
+    /// Period in which faults start.
     pub length: Duration,
-    /// Faults in the order of their beginning.
+    /// Faults in order of their start times.
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// Draws a plan. Every tenth seed has as many processes and callers as a small machine bears.
+    /// Draws a plan from a seed. Seeds that are multiples of ten give large soaks.
     pub fn draw(seed: u64, length: Duration) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let is_large = seed.is_multiple_of(LARGE_EVERY);
+        let is_large = seed.is_multiple_of(LARGE_SEED_INTERVAL);
         let processes = if is_large { 16 } else { rng.random_range(2..=6) };
         let callers = if is_large { 160 } else { rng.random_range(6..=32) };
         let end = length.as_millis() as Millis;
         let mut faults = Vec::new();
-        let mut at = rng.random_range(0..2 * FAULT_EVERY);
+        let mut at = rng.random_range(0..2 * FAULT_INTERVAL_MS);
         while at < end {
             series(&mut rng, at, processes, &mut faults);
-            at += rng.random_range(0..2 * FAULT_EVERY);
+            at += rng.random_range(0..2 * FAULT_INTERVAL_MS);
         }
         faults.retain(|it| it.at < end);
         faults.extend(limits(seed, end));
@@ -163,93 +165,97 @@
     }
 }
 
-/// Limits that targets name, each for a good part of the soak, one after the other or at once.
+/// Draws the limits that targets announce; they may overlap.
 fn limits(seed: u64, end: Millis) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(LIMITS_STREAM);
     let mut limit = || {
         let at = rng.random_range(0..end.max(1));
-        let lasts = rng.random_range(SHORTEST_LIMIT..SHORTEST_LIMIT + end.max(1));
+        let duration = rng.random_range(MIN_LIMIT_MS..MIN_LIMIT_MS + end.max(1));
         let target = rng.random_range(0..2 * TARGETS + ENCODERS);
         let per_10_s = LIMITS_PER_10_S[rng.random_range(0..LIMITS_PER_10_S.len())];
-        Fault { at, lasts, kind: Kind::Limit { target, per_10_s } }
+        Fault { at, duration, kind: FaultKind::Limit { target, per_10_s } }
     };
-    (0..LIMITS).map(|_| limit()).collect()
+    (0..LIMIT_COUNT).map(|_| limit()).collect()
 }
 
-/// Targets that leave and say so in their answers, and targets that ask for back-offs.
+/// Draws the drain and backoff notices that targets send in their answers.
 fn notices(seed: u64, end: Millis) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(NOTICES_STREAM);
     let mut faults = Vec::new();
-    for index in 0..LEAVES + BACKOFFS {
+    for index in 0..DRAIN_COUNT + BACKOFF_COUNT {
         let at = rng.random_range(0..end.max(1));
         let target = rng.random_range(0..2 * TARGETS + ENCODERS);
-        let (kind, lasts) = if index < LEAVES {
-            (Kind::SaysLeaving(target), rng.random_range(500..end.max(1000)))
+        let (kind, duration) = if index < DRAIN_COUNT {
+            (FaultKind::DrainNotice(target), rng.random_range(500..end.max(1000)))
         } else {
             let ms = BACKOFFS_MS[rng.random_range(0..BACKOFFS_MS.len())];
-            (Kind::AsksBackoff { target, ms }, rng.random_range(50..LONGEST_FAULT))
+            (FaultKind::BackoffNotice { target, ms }, rng.random_range(50..MAX_FAULT_MS))
         };
-        faults.push(Fault { at, lasts, kind });
+        faults.push(Fault { at, duration, kind });
     }
     faults
 }
 
 impl Plan {
-    /// Leaves out what targets say in their answers of leaving and back-offs.
+    /// Removes drain and backoff notices.
     pub fn without_notices(mut self) -> Plan {
-        let is_notice = |it: &Kind| matches!(it, Kind::SaysLeaving(_) | Kind::AsksBackoff { .. });
+        let is_notice = |it: &FaultKind| {
+            matches!(it, FaultKind::DrainNotice(_) | FaultKind::BackoffNotice { .. })
+        };
         self.faults.retain(|it| !is_notice(&it.kind));
         self
     }
 
-    /// Leaves out all that targets say of themselves: earlier builds read nothing of it.
+    /// Removes limits, drain notices and backoff notices, which former builds do not support.
     pub fn without_limits(self) -> Plan {
         let mut plan = self.without_notices();
-        plan.faults.retain(|it| !matches!(it.kind, Kind::Limit { .. }));
+        plan.faults.retain(|it| !matches!(it.kind, FaultKind::Limit { .. }));
         plan
     }
 }
 
-/// A fault, or the same one several times in quick succession.
+/// Draws a fault, or a series of the same fault in quick succession.
 fn series(rng: &mut impl Rng, at: Millis, processes: usize, faults: &mut Vec<Fault>) {
     let kind = kind(rng, processes);
     let times = if rng.random_bool(0.25) { rng.random_range(2..=4) } else { 1 };
     let mut at = at;
     for _ in 0..times {
-        let lasts = rng.random_range(50..LONGEST_FAULT);
-        faults.push(Fault { at, lasts, kind });
+        let duration = rng.random_range(50..MAX_FAULT_MS);
+        faults.push(Fault { at, duration, kind });
         at += rng.random_range(20..600);
     }
 }
 
-fn kind(rng: &mut impl Rng, processes: usize) -> Kind {
+fn kind(rng: &mut impl Rng, processes: usize) -> FaultKind {
     let process = rng.random_range(0..processes);
     let target = rng.random_range(0..2 * TARGETS);
     match rng.random_range(0..22) {
-        0..=2 => Kind::Stop(process),
-        3 | 4 => Kind::Kill(process),
-        5 | 6 => Kind::Pause(process),
-        7 => Kind::Reload(process),
-        8 | 9 => Kind::StoreLink(process, way(rng)),
-        10 | 11 => Kind::TargetLink(rng.random_range(0..2 * TARGETS + ENCODERS), way(rng)),
-        12 => Kind::StoreAway { is_silent: rng.random_bool(0.5) },
-        13 => Kind::StoreForgets,
-        14..=16 => Kind::Target(target, target_fault(rng)),
-        17 => Kind::TargetLeaves(target),
-        18 | 19 => Kind::Evacuate(rng.random_range(0..DOMAINS)),
-        _ => Kind::Configure,
+        0..=2 => FaultKind::Stop(process),
+        3 | 4 => FaultKind::Kill(process),
+        5 | 6 => FaultKind::Pause(process),
+        7 => FaultKind::Reload(process),
+        8 | 9 => FaultKind::StoreLink(process, link_fault(rng)),
+        10 | 11 => {
+            FaultKind::TargetLink(rng.random_range(0..2 * TARGETS + ENCODERS), link_fault(rng))
+        }
+        12 => FaultKind::StoreOutage { is_silent: rng.random_bool(0.5) },
+        13 => FaultKind::StoreCompaction,
+        14..=16 => FaultKind::Target(target, target_fault(rng)),
+        17 => FaultKind::TargetDrains(target),
+        18 | 19 => FaultKind::Evacuate(rng.random_range(0..DOMAINS)),
+        _ => FaultKind::Configure,
     }
 }
 
-fn way(rng: &mut impl Rng) -> Way {
+fn link_fault(rng: &mut impl Rng) -> LinkFault {
     match rng.random_range(0..5) {
-        0 => Way::Delay(rng.random_range(5..200)),
-        1 => Way::Reset,
-        2 => Way::CutTo,
-        3 => Way::CutBack,
-        _ => Way::Silence,
+        0 => LinkFault::Delay(rng.random_range(5..200)),
+        1 => LinkFault::Reset,
+        2 => LinkFault::DropForward,
+        3 => LinkFault::DropReverse,
+        _ => LinkFault::Blackhole,
     }
 }
 
@@ -257,9 +263,9 @@
     match rng.random_range(0..6) {
         0 => TargetFault::Declines,
         1 => TargetFault::Fails,
-        2 => TargetFault::Cuts,
+        2 => TargetFault::Disconnects,
         3 => TargetFault::Hangs,
-        4 => TargetFault::Crosses,
-        _ => TargetFault::Breaks,
+        4 => TargetFault::SwapsId,
+        _ => TargetFault::Truncates,
     }
 }
--- a/crates/holdpoint-soak/src/proxy.rs
+++ b/crates/holdpoint-soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections a fault delays, resets or silences.
+//! Loopback TCP proxy that delays, resets or drops traffic to simulate link faults.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,56 +12,56 @@
     sync::watch,
 };
 
-use crate::plan::Way;
+use crate::plan::LinkFault;
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
+/// Size of the copy buffer.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Direction of a part of a connection.
+/// Direction of traffic: `Forward` is towards the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
-    To,
-    Back,
+    Forward,
+    Reverse,
 }
 
-/// The proxy; it works until the runtime ends.
+/// A proxy; it runs until the runtime ends.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
-    way: Arc<Mutex<Option<Way>>>,
+    link_fault: Arc<Mutex<Option<LinkFault>>>,
     resets: watch::Sender<u64>,
 }
 
 impl Proxy {
-    /// Starts a proxy that leads to an address.
+    /// Starts a proxy that forwards to the address `far`.
     pub(crate) async fn start(far: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
         let address = listener.local_addr().expect("a bound socket has an address");
-        let proxy = Proxy { address, way: Arc::default(), resets: watch::channel(0).0 };
+        let proxy = Proxy { address, link_fault: Arc::default(), resets: watch::channel(0).0 };
         tokio::spawn(accept(listener, far, proxy.clone()));
         proxy
     }
 
-    /// Puts a fault in force, or none.
-    pub(crate) fn set(&self, way: Option<Way>) {
-        *self.way.lock() = way;
-        if way == Some(Way::Reset) {
+    /// Sets or clears the active fault.
+    pub(crate) fn set(&self, link_fault: Option<LinkFault>) {
+        *self.link_fault.lock() = link_fault;
+        if link_fault == Some(LinkFault::Reset) {
             self.resets.send_modify(|it| *it += 1);
         }
     }
 
-    fn loses(&self, direction: Direction) -> bool {
-        match *self.way.lock() {
-            Some(Way::Silence) => true,
-            Some(Way::CutTo) => direction == Direction::To,
-            Some(Way::CutBack) => direction == Direction::Back,
-            Some(Way::Delay(_) | Way::Reset) | None => false,
+    fn drops(&self, direction: Direction) -> bool {
+        match *self.link_fault.lock() {
+            Some(LinkFault::Blackhole) => true,
+            Some(LinkFault::DropForward) => direction == Direction::Forward,
+            Some(LinkFault::DropReverse) => direction == Direction::Reverse,
+            Some(LinkFault::Delay(_) | LinkFault::Reset) | None => false,
         }
     }
 
     async fn delay(&self) {
-        let way = *self.way.lock();
-        if let Some(Way::Delay(ms)) = way {
+        let link_fault = *self.link_fault.lock();
+        if let Some(LinkFault::Delay(ms)) = link_fault {
             tokio::time::sleep(Duration::from_millis(ms)).await;
         }
     }
@@ -76,35 +76,35 @@
 async fn serve(near: TcpStream, far: SocketAddr, proxy: Proxy) {
     let mut resets = proxy.resets.subscribe();
     let Ok(far) = TcpStream::connect(far).await else { return };
-    // Only delays follow where an option of the socket cannot be set.
+    // Without the option data may only be delayed.
     drop((near.set_nodelay(true), far.set_nodelay(true)));
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let to = pass(near_read, far_write, &proxy, Direction::To);
-    let back = pass(far_read, near_write, &proxy, Direction::Back);
+    let to = pass(near_read, far_write, &proxy, Direction::Forward);
+    let back = pass(far_read, near_write, &proxy, Direction::Reverse);
     tokio::select! {
         _ = async { tokio::join!(to, back) } => (),
-        // Both sockets close with what they have not read, which resets them.
+        // Closing a socket with unread data resets its connection.
         _ = resets.changed() => (),
     }
 }
 
-/// Passes bytes on until either side closes. A connection that has lost a byte loses all the rest:
-/// what followed would make no sense to its reader.
+/// Forwards bytes until either side closes. Once bytes have been dropped all later ones are dropped
+/// as well, so that the reader never sees a stream with a gap.
 async fn pass(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     proxy: &Proxy,
     direction: Direction,
 ) {
-    let mut buffer = vec![0; CHUNK];
-    let mut is_lost = false;
+    let mut buffer = vec![0; CHUNK_BYTES];
+    let mut is_dropping = false;
     while let Ok(read) = from.read(&mut buffer).await {
         proxy.delay().await;
-        is_lost |= proxy.loses(direction);
-        if is_lost {
+        is_dropping |= proxy.drops(direction);
+        if is_dropping {
             if read == 0 {
-                // A closed end is lost as well, until the connection is reset.
+                // The end of the stream is dropped as well, until the connection is reset.
                 std::future::pending::<()>().await;
             }
             continue;
--- a/crates/holdpoint-soak/src/verdict.rs
+++ b/crates/holdpoint-soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Promises, judged by what callers and targets have seen.
+//! Checks the invariants of a soak against what callers and targets observed.
 
 use std::{collections::HashMap, fmt};
 
@@ -9,91 +9,92 @@
     callers::{Attempt, Outcome, Route},
 };
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub(crate) const EVENTS: u64 = 5;
 
-/// A promise to callers.
+/// Guarantee that the ingress gives to callers and targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
-    /// A request that may run once runs at most once.
-    Once,
+pub enum Invariant {
+    /// A request that must not be retried runs at most once.
+    AtMostOnce,
     /// A request reported as not run has not run.
     NotRun,
-    /// An answer is the whole answer of a target that ran this very request.
-    Whole,
-    /// No target runs what no caller sent.
-    Asked,
-    /// What has run is answered, unless the process was killed.
+    /// A successful answer comes from a target that ran this request, and is not truncated unnoticed.
+    Intact,
+    /// Targets run only requests that callers sent, unchanged.
+    Requested,
+    /// A request that has run is answered, unless its process was killed.
     Answered,
-    /// A target gets no more than one and a half times what it names as its limit, and five requests.
-    Limited,
-    /// A target that said in an answer that it leaves gets nothing of a process that passed it on 2 s before.
+    /// A target receives at most one and a half times its limit plus five requests.
+    WithinLimit,
+    /// A target receives no new requests from a process 2 s after the process forwarded its drain
+    /// notice.
     Drained,
-    /// A target gets no more than two requests of a process in the time for which it had asked it to back off, half
-    /// a second after that.
+    /// A target receives at most two requests from a process during the backoff that it requested,
+    /// not counting the first 500 ms.
     BackedOff,
     /// After the last fault each process serves the newest configuration.
     Recovered,
 }
 
-impl Promise {
-    /// Name of its breach.
-    pub fn breach(self) -> &'static str {
+impl Invariant {
+    /// Label of its violations in the verdict's output.
+    pub fn label(self) -> &'static str {
         match self {
-            Promise::Once => "doubled",
-            Promise::NotRun => "falsely-not-run",
-            Promise::Whole => "crossed-or-torn",
-            Promise::Asked => "unasked",
-            Promise::Answered => "lost",
-            Promise::Limited => "over-limit",
-            Promise::Drained => "sent-to-leaving",
-            Promise::BackedOff => "sent-in-backoff",
-            Promise::Recovered => "not-recovered",
+            Invariant::AtMostOnce => "doubled",
+            Invariant::NotRun => "falsely-not-run",
+            Invariant::Intact => "crossed-or-torn",
+            Invariant::Requested => "unasked",
+            Invariant::Answered => "lost",
+            Invariant::WithinLimit => "over-limit",
+            Invariant::Drained => "sent-to-leaving",
+            Invariant::BackedOff => "sent-in-backoff",
+            Invariant::Recovered => "not-recovered",
         }
     }
 }
 
-/// One breach of a promise.
+/// Violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Promise that was broken.
-    pub promise: Promise,
-    /// Id of the request, or name of the process.
+    /// Invariant that was violated.
+    pub invariant: Invariant,
+    /// Id of the request or target, or name of the process.
     pub id: String,
-    /// When the request was sent.
+    /// When the request was sent or the violation began; 0 if unknown.
     pub at: Millis,
-    /// What was seen.
-    pub seen: String,
+    /// Description of the observation.
+    pub detail: String,
 }
 
 /// Outcome of one soak.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Seed of its plan.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Processes and callers.
+    /// Numbers of processes and callers.
     pub size: (usize, usize),
-    /// Faults made.
+    /// Number of faults injected.
     pub faults: usize,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Requests answered whole with a success.
+    /// Number of requests with a complete answer of status 200.
     pub answered: usize,
-    /// Requests refused as not run.
+    /// Number of requests with a complete answer of status 503.
     pub refused: usize,
-    /// Breaches.
+    /// Violations found.
     pub findings: Vec<Finding>,
 }
 
 impl Verdict {
-    /// Whether every promise was kept.
+    /// Whether no invariant was violated.
     pub fn is_kept(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// Number of breaches of a promise.
-    pub fn count(&self, promise: Promise) -> usize {
-        self.findings.iter().filter(|it| it.promise == promise).count()
+    /// Number of violations of an invariant.
+    pub fn count(&self, invariant: Invariant) -> usize {
+        self.findings.iter().filter(|it| it.invariant == invariant).count()
     }
 }
 
@@ -105,31 +106,36 @@
             "seed {} processes {processes} callers {callers} faults {} requests {} answered {} refused {}",
             self.seed, self.faults, self.requests, self.answered, self.refused
         )?;
-        for promise in [
-            Promise::Once,
-            Promise::NotRun,
-            Promise::Whole,
-            Promise::Asked,
-            Promise::Answered,
-            Promise::Limited,
-            Promise::Drained,
-            Promise::BackedOff,
-            Promise::Recovered,
+        for invariant in [
+            Invariant::AtMostOnce,
+            Invariant::NotRun,
+            Invariant::Intact,
+            Invariant::Requested,
+            Invariant::Answered,
+            Invariant::WithinLimit,
+            Invariant::Drained,
+            Invariant::BackedOff,
+            Invariant::Recovered,
         ] {
-            write!(f, " {} {}", promise.breach(), self.count(promise))?;
+            write!(f, " {} {}", invariant.label(), self.count(invariant))?;
         }
         for it in &self.findings {
-            write!(f, "\n  {} at {} ms: {} {}", it.promise.breach(), it.at, it.id, it.seen)?;
+            write!(f, "\n  {} at {} ms: {} {}", it.invariant.label(), it.at, it.id, it.detail)?;
         }
         Ok(())
     }
 }
 
-/// When processes were killed, by process.
-pub type Kills = HashMap<usize, Vec<Millis>>;
+/// Times of an event, such as a kill, by process.
+pub type EventTimes = HashMap<usize, Vec<Millis>>;
 
-/// Judges attempts by what targets ran. `runs` has each target's id with its runs.
-pub fn judge(attempts: &[Attempt], runs: &[(String, Vec<Run>)], kills: &Kills) -> Vec<Finding> {
+/// Checks attempts against the requests that targets ran. `runs` pairs each target's id with its
+/// runs.
+pub fn judge(
+    attempts: &[Attempt],
+    runs: &[(String, Vec<Run>)],
+    kills: &EventTimes,
+) -> Vec<Finding> {
     let mut by_id: HashMap<&str, Vec<(&str, &Run)>> = HashMap::new();
     for (target, its) in runs {
         for run in its {
@@ -139,63 +145,74 @@
     let mut findings = Vec::new();
     for attempt in attempts {
         let ran = by_id.remove(attempt.id.as_str()).unwrap_or_default();
-        judge_one(attempt, &ran, kills, &mut findings);
+        judge_attempt(attempt, &ran, kills, &mut findings);
     }
     let unasked = by_id.into_iter().map(|(id, ran)| Finding {
-        promise: Promise::Asked,
+        invariant: Invariant::Requested,
         id: id.to_owned(),
         at: 0,
-        seen: format!("ran at {}", ran[0].0),
+        detail: format!("ran at {}", ran[0].0),
     });
     findings.extend(unasked);
     findings
 }
 
-fn judge_one(attempt: &Attempt, ran: &[(&str, &Run)], kills: &Kills, findings: &mut Vec<Finding>) {
-    let mut broken = |promise, seen: String| {
-        findings.push(Finding { promise, id: attempt.id.clone(), at: attempt.sent, seen });
+fn judge_attempt(
+    attempt: &Attempt,
+    ran: &[(&str, &Run)],
+    kills: &EventTimes,
+    findings: &mut Vec<Finding>,
+) {
+    let mut report = |invariant, detail: String| {
+        findings.push(Finding { invariant, id: attempt.id.clone(), at: attempt.sent, detail });
     };
     let targets: Vec<&str> = ran.iter().map(|it| it.0).collect();
     let runs_once = matches!(attempt.route, Route::Unsafe | Route::Once);
     if runs_once && 1 < ran.len() {
-        broken(Promise::Once, format!("ran at {}", targets.join(", ")));
+        report(Invariant::AtMostOnce, format!("ran at {}", targets.join(", ")));
     }
     for (target, run) in ran {
-        if run.line != attempt.line() || run.body != attempt.id.as_bytes() {
-            broken(Promise::Asked, format!("{target} ran {} with another body or path", run.line));
+        if run.line != attempt.request_line() || run.body != attempt.id.as_bytes() {
+            report(
+                Invariant::Requested,
+                format!("{target} ran {} with another body or path", run.line),
+            );
         }
     }
     match &attempt.outcome {
-        Outcome::Answer { status, signature, body, is_whole } => {
-            let is_promise = matches!(status, 408 | 421 | 429 | 503) && signature.is_none();
-            if is_promise && runs_once && !ran.is_empty() {
-                broken(Promise::NotRun, format!("{status}, ran at {}", targets.join(", ")));
+        Outcome::Answer { status, signature, body, is_complete } => {
+            let is_rejection = matches!(status, 408 | 421 | 429 | 503) && signature.is_none();
+            if is_rejection && runs_once && !ran.is_empty() {
+                report(Invariant::NotRun, format!("{status}, ran at {}", targets.join(", ")));
             }
             let is_success = (200..300).contains(status);
             let signs = |target: &&str| {
                 signature.as_deref() == Some(&format!("stamp-{target}-{}", attempt.id))
             };
             if is_success && !targets.iter().any(signs) {
-                broken(Promise::Whole, format!("{status} signed {signature:?}"));
+                report(Invariant::Intact, format!("{status} signed {signature:?}"));
             }
-            if is_success && *is_whole && *body != attempt.expected() {
-                broken(Promise::Whole, format!("{} bytes that look whole", body.len()));
+            if is_success && *is_complete && *body != attempt.expected_body() {
+                report(
+                    Invariant::Intact,
+                    format!("{} unexpected bytes presented as complete", body.len()),
+                );
             }
-            let is_held_to_end = attempt.route.has_whole_answer() && !is_whole;
-            if is_held_to_end && !was_killed(attempt, kills) {
-                broken(Promise::Answered, format!("{status}, cut off midway"));
+            let is_truncated = attempt.route.is_unary() && !is_complete;
+            if is_truncated && !was_killed(attempt, kills) {
+                report(Invariant::Answered, format!("{status}, body truncated"));
             }
         }
-        Outcome::Closed if attempt.route.has_whole_answer() && !ran.is_empty() => {
+        Outcome::Closed if attempt.route.is_unary() && !ran.is_empty() => {
             if !was_killed(attempt, kills) {
-                broken(Promise::Answered, format!("closed, ran at {}", targets.join(", ")));
+                report(Invariant::Answered, format!("closed, ran at {}", targets.join(", ")));
             }
         }
-        Outcome::Closed | Outcome::Left | Outcome::Silent => (),
+        Outcome::Closed | Outcome::Cancelled | Outcome::TimedOut => (),
     }
 }
 
-fn was_killed(attempt: &Attempt, kills: &Kills) -> bool {
+fn was_killed(attempt: &Attempt, kills: &EventTimes) -> bool {
     let of_process = kills.get(&attempt.process).map_or(&[][..], Vec::as_slice);
     of_process.iter().any(|it| (attempt.sent..=attempt.ended).contains(it))
 }
--- a/crates/holdpoint-soak/tests/judge.rs
+++ b/crates/holdpoint-soak/tests/judge.rs
@@ -1,9 +1,10 @@
-//! The judge notices each breach, and takes what is allowed for no breach.
+//! The checks report each violation of an invariant and accept permitted behaviour.
 
 use bytes::Bytes;
 use holdpoint_adapter_standin::Run;
 use holdpoint_soak::{
-    Arrival, Attempt, Kills, Millis, Notices, Outcome, Plan, Promise, Route, judge, judge_notices,
+    Arrival, Attempt, EventTimes, Invariant, Millis, Notices, Outcome, Plan, Route, judge,
+    judge_notices,
 };
 
 fn attempt(route: Route, outcome: Outcome) -> Attempt {
@@ -12,13 +13,13 @@
 
 fn answer(status: u16, signer: Option<&str>, body: impl Into<Bytes>) -> Outcome {
     let signature = signer.map(|it| format!("stamp-{it}-r-1"));
-    Outcome::Answer { status, signature, body: body.into(), is_whole: true }
+    Outcome::Answer { status, signature, body: body.into(), is_complete: true }
 }
 
 fn run(of: &Attempt) -> Run {
     Run {
         request: of.id.clone(),
-        line: of.line(),
+        line: of.request_line(),
         headers: Default::default(),
         body: Bytes::from(of.id.clone()),
         at: std::time::Instant::now(),
@@ -26,62 +27,62 @@
     }
 }
 
-/// Breaches of one attempt that ran at each of `targets`.
-fn breaches(attempt: &Attempt, targets: &[&str], kills: &[Millis]) -> Vec<Promise> {
+/// Violations found for an attempt that ran at each of `targets`.
+fn violations(attempt: &Attempt, targets: &[&str], kills: &[Millis]) -> Vec<Invariant> {
     let runs: Vec<_> = targets.iter().map(|it| ((*it).to_owned(), vec![run(attempt)])).collect();
-    let kills = Kills::from([(0, kills.to_vec())]);
-    judge(std::slice::from_ref(attempt), &runs, &kills).iter().map(|it| it.promise).collect()
+    let kills = EventTimes::from([(0, kills.to_vec())]);
+    judge(std::slice::from_ref(attempt), &runs, &kills).iter().map(|it| it.invariant).collect()
 }
 
 #[test]
 fn what_may_run_once_runs_at_most_once() {
     let once = attempt(Route::Unsafe, answer(200, Some("a"), "r-1"));
-    assert_eq!(breaches(&once, &["a"], &[]), []);
-    assert_eq!(breaches(&once, &["a", "b"], &[]), [Promise::Once]);
+    assert_eq!(violations(&once, &["a"], &[]), []);
+    assert_eq!(violations(&once, &["a", "b"], &[]), [Invariant::AtMostOnce]);
     let repeatable = attempt(Route::Safe, answer(200, Some("a"), "r-1"));
-    assert_eq!(breaches(&repeatable, &["a", "b"], &[]), []);
+    assert_eq!(violations(&repeatable, &["a", "b"], &[]), []);
 }
 
 #[test]
 fn what_is_reported_as_not_run_has_not_run() {
     let refused = attempt(Route::Once, answer(503, None, ""));
-    assert_eq!(breaches(&refused, &[], &[]), []);
-    assert_eq!(breaches(&refused, &["a"], &[]), [Promise::NotRun]);
+    assert_eq!(violations(&refused, &[], &[]), []);
+    assert_eq!(violations(&refused, &["a"], &[]), [Invariant::NotRun]);
     let failed = attempt(Route::Once, answer(502, None, ""));
-    assert_eq!(breaches(&failed, &["a"], &[]), []);
+    assert_eq!(violations(&failed, &["a"], &[]), []);
 }
 
 #[test]
 fn an_answer_is_that_of_a_target_that_ran_the_request() {
     let of = |signer, body: &'static str| attempt(Route::Safe, answer(200, signer, body));
-    assert_eq!(breaches(&of(Some("b"), "r-1"), &["a"], &[]), [Promise::Whole]);
-    assert_eq!(breaches(&of(None, "r-1"), &["a"], &[]), [Promise::Whole]);
-    assert_eq!(breaches(&of(Some("a"), "r-2"), &["a"], &[]), [Promise::Whole]);
+    assert_eq!(violations(&of(Some("b"), "r-1"), &["a"], &[]), [Invariant::Intact]);
+    assert_eq!(violations(&of(None, "r-1"), &["a"], &[]), [Invariant::Intact]);
+    assert_eq!(violations(&of(Some("a"), "r-2"), &["a"], &[]), [Invariant::Intact]);
     let torn = attempt(Route::Story, answer(200, Some("a"), "id: 0\ndata: part 0\n\n"));
-    assert_eq!(breaches(&torn, &["a"], &[]), [Promise::Whole]);
-    let whole = attempt(Route::Story, answer(200, Some("a"), torn.expected()));
-    assert_eq!(breaches(&whole, &["a", "b"], &[]), []);
+    assert_eq!(violations(&torn, &["a"], &[]), [Invariant::Intact]);
+    let whole = attempt(Route::Story, answer(200, Some("a"), torn.expected_body()));
+    assert_eq!(violations(&whole, &["a", "b"], &[]), []);
 }
 
 #[test]
 fn what_ran_is_answered_unless_its_process_was_killed() {
     let closed = attempt(Route::Unsafe, Outcome::Closed);
-    assert_eq!(breaches(&closed, &[], &[]), []);
-    assert_eq!(breaches(&closed, &["a"], &[]), [Promise::Answered]);
-    assert_eq!(breaches(&closed, &["a"], &[90]), [Promise::Answered]);
-    assert_eq!(breaches(&closed, &["a"], &[150]), []);
+    assert_eq!(violations(&closed, &[], &[]), []);
+    assert_eq!(violations(&closed, &["a"], &[]), [Invariant::Answered]);
+    assert_eq!(violations(&closed, &["a"], &[90]), [Invariant::Answered]);
+    assert_eq!(violations(&closed, &["a"], &[150]), []);
 }
 
 #[test]
 fn no_target_runs_what_nobody_sent() {
-    let sent = attempt(Route::Unsafe, Outcome::Left);
+    let sent = attempt(Route::Unsafe, Outcome::Cancelled);
     let mut other = run(&sent);
     other.request = "r-2".to_owned();
     let mut changed = run(&sent);
     changed.line = "POST /safe/".to_owned();
     let runs = [("a".to_owned(), vec![other]), ("b".to_owned(), vec![changed])];
-    let found = judge(&[sent], &runs, &Kills::default());
-    assert_eq!(found.iter().map(|it| it.promise).collect::<Vec<_>>(), [Promise::Asked; 2]);
+    let found = judge(&[sent], &runs, &EventTimes::default());
+    assert_eq!(found.iter().map(|it| it.invariant).collect::<Vec<_>>(), [Invariant::Requested; 2]);
 }
 
 #[test]
@@ -92,7 +93,7 @@
     assert_eq!(Plan::draw(10, length).processes, 16);
 }
 
-/// Requests to process 0 that reached target `a`: when they were sent and arrived there.
+/// Attempts at process 0 that reached target `a`; `arrivals` has the times of sending and arrival.
 fn notices(
     arrivals: &[(Millis, Millis)],
     says_leaving: bool,
@@ -109,7 +110,7 @@
             status: 200,
             signature: Some(format!("stamp-a-{}", id(index))),
             body: Bytes::new(),
-            is_whole: true,
+            is_complete: true,
         },
     });
     let attempts = attempts.collect();
@@ -119,20 +120,27 @@
         says_leaving,
         backoff_ms: backoff_ms.filter(|_| index == 0),
     });
-    (attempts, Notices { target: "a", arrivals: arrivals.collect(), cuts: Vec::new() })
+    (attempts, Notices { target: "a", arrivals: arrivals.collect(), outages: Vec::new() })
 }
 
-fn noticed((attempts, notices): &(Vec<Attempt>, Notices<'_>), disturbed: &[Millis]) -> usize {
-    judge_notices(notices, attempts, &Kills::from([(0, disturbed.to_vec())])).len()
+fn finding_count(
+    (attempts, notices): &(Vec<Attempt>, Notices<'_>),
+    interrupted: &[Millis],
+) -> usize {
+    judge_notices(notices, attempts, &EventTimes::from([(0, interrupted.to_vec())])).len()
 }
 
 #[test]
 fn a_target_that_said_that_it_leaves_gets_nothing_two_seconds_later() {
     let late = notices(&[(100, 110), (2130, 2140)], true, None);
-    assert_eq!(noticed(&late, &[]), 1);
-    assert_eq!(noticed(&late, &[1000]), 0, "its process has started again");
-    assert_eq!(noticed(&notices(&[(100, 110), (2110, 2140)], true, None), &[]), 0, "sent before");
-    assert_eq!(noticed(&notices(&[(100, 110), (2130, 2140)], false, None), &[]), 0);
+    assert_eq!(finding_count(&late, &[]), 1);
+    assert_eq!(finding_count(&late, &[1000]), 0, "its process has started again");
+    assert_eq!(
+        finding_count(&notices(&[(100, 110), (2110, 2140)], true, None), &[]),
+        0,
+        "sent before"
+    );
+    assert_eq!(finding_count(&notices(&[(100, 110), (2130, 2140)], false, None), &[]), 0);
 }
 
 #[test]
@@ -142,10 +150,10 @@
         notices(&arrivals, false, Some(3000))
     };
     let three = asked(&[100, 700, 800, 3000]);
-    assert_eq!(noticed(&three, &[]), 1);
-    assert_eq!(noticed(&three, &[2000]), 0, "its process has started again");
-    assert_eq!(noticed(&asked(&[100, 300, 500, 599, 700, 800, 3100]), &[]), 0);
+    assert_eq!(finding_count(&three, &[]), 1);
+    assert_eq!(finding_count(&three, &[2000]), 0, "its process has started again");
+    assert_eq!(finding_count(&asked(&[100, 300, 500, 599, 700, 800, 3100]), &[]), 0);
     let (attempts, mut notices) = three;
-    notices.cuts.push(50..=150);
-    assert_eq!(noticed(&(attempts, notices), &[]), 0, "the answer was lost, perhaps");
+    notices.outages.push(50..=150);
+    assert_eq!(finding_count(&(attempts, notices), &[]), 0, "the answer may have been lost");
 }
