--- a/crates/holdpoint-standin/src/lib.rs
+++ b/crates/holdpoint-standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform and for targets, with fault switches.
+//! In-process stand-ins for the platform and for targets, with fault injection.
 //!
-//! Each listens on a port of its own choosing on the loopback address and counts what it truly
-//! ran, so that a test can compare what a caller was told with what happened.
+//! Each listens on a free loopback port and counts what it actually ran, so that a test can
+//! compare the answers that a caller received with what happened.
 //!
 //! ```
 //! # let runtime = tokio::runtime::Runtime::new().unwrap();
--- a/crates/holdpoint-standin/src/list.rs
+++ b/crates/holdpoint-standin/src/list.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's lagging list of live and leaving instances.
+//! Stand-in for the platform's list of live and draining instances and targets, which may be stale.
 
 use std::{
     hash::{DefaultHasher, Hash, Hasher},
@@ -19,13 +19,13 @@
 
 #[derive(Debug)]
 struct Inner {
-    truth: Mutex<Listing>,
+    current: Mutex<Listing>,
     served: Mutex<Listing>,
     stale: Mutex<bool>,
     outage: Mutex<bool>,
 }
 
-/// The stand-in.
+/// Server of the list.
 #[derive(Debug)]
 pub struct ListStandin {
     server: Server,
@@ -37,7 +37,7 @@
     pub async fn start() -> ListStandin {
         let empty = || Listing { instances: Vec::new(), targets: Vec::new() };
         let inner = Arc::new(Inner {
-            truth: Mutex::new(empty()),
+            current: Mutex::new(empty()),
             served: Mutex::new(empty()),
             stale: Mutex::new(false),
             outage: Mutex::new(false),
@@ -46,61 +46,61 @@
         ListStandin { server: Server::start(router).await, inner }
     }
 
-    /// Address, as IP number and port.
+    /// Address as `IP:port`.
     pub fn address(&self) -> &str {
         self.server.address()
     }
 
-    /// Keeps serving the list as it is now, whatever changes, until switched off.
+    /// While set, keeps serving the list as it was when set, ignoring changes.
     pub fn set_stale(&self, stale: bool) {
         *self.inner.stale.lock() = stale;
         self.publish();
     }
 
-    /// Refuses every read until switched off.
+    /// While set, rejects every read with status 503.
     pub fn set_outage(&self, outage: bool) {
         *self.inner.outage.lock() = outage;
     }
 
-    /// Lists an instance, in place of any of the same name.
+    /// Lists an instance, replacing any with the same name.
     pub fn add_instance(&self, name: &str, peers: &str) {
-        let mut truth = self.inner.truth.lock();
-        truth.instances.retain(|it| it.name != name);
+        let mut current = self.inner.current.lock();
+        current.instances.retain(|it| it.name != name);
         let (name, peers) = (name.to_owned(), peers.to_owned());
-        truth.instances.push(ListedInstance { name, peers, state: ListState::Live });
-        drop(truth);
+        current.instances.push(ListedInstance { name, peers, state: ListState::Live });
+        drop(current);
         self.publish();
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn remove_instance(&self, name: &str) {
-        self.inner.truth.lock().instances.retain(|it| it.name != name);
+        self.inner.current.lock().instances.retain(|it| it.name != name);
         self.publish();
     }
 
-    /// Lists a target, in place of any at the same address.
+    /// Lists a target, replacing any with the same address.
     pub fn add_target(&self, target: ListedTarget) {
-        let mut truth = self.inner.truth.lock();
-        truth.targets.retain(|it| it.address != target.address);
-        truth.targets.push(target);
-        drop(truth);
+        let mut current = self.inner.current.lock();
+        current.targets.retain(|it| it.address != target.address);
+        current.targets.push(target);
+        drop(current);
         self.publish();
     }
 
-    /// Marks a target as leaving.
+    /// Marks a target as draining.
     pub fn leave_target(&self, address: &str) {
-        let mut truth = self.inner.truth.lock();
-        let found = truth.targets.iter_mut().find(|it| it.address == address);
+        let mut current = self.inner.current.lock();
+        let found = current.targets.iter_mut().find(|it| it.address == address);
         if let Some(it) = found {
             it.state = ListState::Leaving;
         }
-        drop(truth);
+        drop(current);
         self.publish();
     }
 
     fn publish(&self) {
         if !*self.inner.stale.lock() {
-            *self.inner.served.lock() = self.inner.truth.lock().clone();
+            *self.inner.served.lock() = self.inner.current.lock().clone();
         }
     }
 }
--- a/crates/holdpoint-standin/src/log.rs
+++ b/crates/holdpoint-standin/src/log.rs
@@ -20,18 +20,18 @@
 
 use crate::serve::{Server, wall_ms};
 
-/// Fault switches of the log.
+/// Faults of the log.
 #[derive(Clone, Debug, Default)]
 pub struct LogFaults {
-    /// Every call is refused.
+    /// Rejects every call with status 503.
     pub outage: bool,
-    /// Every call is answered only after this long.
+    /// Delay before every call is processed.
     pub delay: Duration,
-    /// Appends take effect, and this many of the next ones lose their answer.
+    /// Number of next appends that take effect but are answered with status 504.
     pub lose_answers: u32,
-    /// Appends a second that are let through; no limit where 0.
+    /// Appends admitted per second; 0 means no limit.
     pub rate: u32,
-    /// Records older than this expire; never where `None`.
+    /// Age at which records expire; `None` means never.
     pub retention: Option<Duration>,
 }
 
@@ -66,10 +66,10 @@
     faults: Mutex<LogFaults>,
     appended: Notify,
     counts: Mutex<LogCounts>,
-    second: Mutex<(u64, u32)>,
+    rate_window: Mutex<(u64, u32)>,
 }
 
-/// What the log has done.
+/// Counters of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogCounts {
     /// Appends that took effect.
@@ -80,11 +80,11 @@
     pub reads: u64,
     /// Bytes read.
     pub read_bytes: u64,
-    /// Appends refused for their rate.
+    /// Appends rejected by the rate limit.
     pub limited: u64,
 }
 
-/// The stand-in.
+/// Server of the log.
 #[derive(Debug)]
 pub struct LogStandin {
     server: Server,
@@ -108,22 +108,22 @@
         LogStandin { server: Server::start(router).await, inner }
     }
 
-    /// Address, as IP number and port.
+    /// Address as `IP:port`.
     pub fn address(&self) -> &str {
         self.server.address()
     }
 
-    /// Fault switches.
+    /// Faults, to be changed in place.
     pub fn faults(&self) -> MutexGuard<'_, LogFaults> {
         self.inner.faults.lock()
     }
 
-    /// What the log has done.
+    /// Counters since the start.
     pub fn counts(&self) -> LogCounts {
         *self.inner.counts.lock()
     }
 
-    /// Records of a stream, as text.
+    /// Data of the records of a stream.
     pub fn records(&self, stream: &str) -> Vec<String> {
         let streams = self.inner.streams.lock();
         streams
@@ -143,7 +143,7 @@
     if let Some(it) = fault(&inner).await {
         return it;
     }
-    if !within_rate(&inner) {
+    if !is_within_rate(&inner) {
         inner.counts.lock().limited += 1;
         return StatusCode::TOO_MANY_REQUESTS.into_response();
     }
@@ -234,13 +234,13 @@
     outage.then(|| StatusCode::SERVICE_UNAVAILABLE.into_response())
 }
 
-fn within_rate(inner: &Inner) -> bool {
+fn is_within_rate(inner: &Inner) -> bool {
     let rate = inner.faults.lock().rate;
-    let mut second = inner.second.lock();
+    let mut rate_window = inner.rate_window.lock();
     let now = wall_ms() / 1000;
-    if second.0 != now {
-        *second = (now, 0);
+    if rate_window.0 != now {
+        *rate_window = (now, 0);
     }
-    second.1 += 1;
-    rate == 0 || second.1 <= rate
+    rate_window.1 += 1;
+    rate == 0 || rate_window.1 <= rate
 }
--- a/crates/holdpoint-standin/src/relay.rs
+++ b/crates/holdpoint-standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between instances, which can lose either direction.
+//! TCP relay between instances that can drop traffic in either direction.
 
 use std::sync::{
     Arc,
@@ -15,8 +15,8 @@
     task::JoinHandle,
 };
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
+/// Size of the copy buffer.
+const CHUNK_BYTES: usize = 16 << 10;
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -25,7 +25,7 @@
     loses_answers: AtomicBool,
 }
 
-/// The relay.
+/// A relay; it stops accepting connections when dropped.
 #[derive(Debug)]
 pub struct Relay {
     address: String,
@@ -34,7 +34,7 @@
 }
 
 impl Relay {
-    /// Starts a relay that leads nowhere yet.
+    /// Starts a relay without a destination.
     pub async fn start() -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
         let address = listener.local_addr().expect("a bound socket has an address").to_string();
@@ -48,12 +48,12 @@
         &self.address
     }
 
-    /// Leads to an address from now on.
+    /// Sets the destination address of new connections.
     pub fn lead_to(&self, target: &str) {
         target.clone_into(&mut self.inner.target.lock());
     }
 
-    /// Loses, without a word, what is sent to the target, or what it answers, or both.
+    /// Sets whether data to the destination (`calls`) and from it (`answers`) is silently dropped.
     pub fn lose(&self, calls: bool, answers: bool) {
         self.inner.loses_calls.store(calls, Ordering::Release);
         self.inner.loses_answers.store(answers, Ordering::Release);
@@ -71,7 +71,7 @@
         let Ok((stream, _)) = listener.accept().await else { continue };
         let target = inner.target.lock().clone();
         let Ok(far) = TcpStream::connect(target).await else { continue };
-        // Only delays follow where an option of the socket cannot be set.
+        // Without the option data may only be delayed.
         drop((stream.set_nodelay(true), far.set_nodelay(true)));
         let (near_read, near_write) = stream.into_split();
         let (far_read, far_write) = far.into_split();
@@ -83,17 +83,17 @@
     }
 }
 
-/// Passes bytes on until either side closes. A connection that has lost a byte loses all the
-/// rest: what followed would make no sense to its reader.
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, loses: impl Fn() -> bool) {
-    let mut buffer = vec![0; CHUNK];
-    let mut is_lost = false;
+/// Forwards bytes until either side closes. Once bytes have been dropped all later ones are dropped
+/// as well, so that the reader never sees a stream with a gap.
+async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, is_lossy: impl Fn() -> bool) {
+    let mut buffer = vec![0; CHUNK_BYTES];
+    let mut is_dropping = false;
     while let Ok(n) = from.read(&mut buffer).await {
         if n == 0 {
             return;
         }
-        is_lost |= loses();
-        if !is_lost && to.write_all(&buffer[..n]).await.is_err() {
+        is_dropping |= is_lossy();
+        if !is_dropping && to.write_all(&buffer[..n]).await.is_err() {
             return;
         }
     }
--- a/crates/holdpoint-standin/src/serve.rs
+++ b/crates/holdpoint-standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves a router on a port of the system's choosing.
+//! HTTP server on a free loopback port.
 
 use std::{
     io,
@@ -10,9 +10,9 @@
 use socket2::{Domain, Socket, Type};
 use tokio::{net::TcpListener, task::JoinHandle};
 
-/// Pause between two looks at whether a server has stopped.
-const POLL: Duration = Duration::from_millis(1);
-/// Connections that wait to be taken.
+/// Interval of checks whether a server has stopped.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Most connections waiting to be accepted.
 const BACKLOG: i32 = 1024;
 
 /// A server that stops when dropped.
@@ -20,13 +20,13 @@
 pub struct Server {
     address: String,
     task: JoinHandle<()>,
-    /// Bound to the server's port and never listening: connections are refused once the server has
-    /// stopped, and nobody else is given the port.
+    /// Bound to the server's port but never listening: reserves the port after the server has
+    /// stopped, while connections to it are refused.
     _port: Socket,
 }
 
 impl Server {
-    /// Starts to serve on the loopback address.
+    /// Starts to serve the router on a free loopback port.
     pub async fn start(router: Router) -> Server {
         let (listener, port) = bind().expect("loopback has a free port");
         let address = listener.local_addr().expect("a bound socket has an address").to_string();
@@ -36,21 +36,21 @@
         Server { address, task, _port: port }
     }
 
-    /// Address, as IP number and port.
+    /// Address as `IP:port`.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Stops listening, as soon as the runtime comes to it.
+    /// Requests a stop, which takes effect once the runtime has dropped the server's task.
     pub fn stop(&self) {
         self.task.abort();
     }
 
-    /// Waits until it has stopped listening: from then on connections to it are refused. Before
-    /// that, one may still be taken and be reset.
+    /// Waits until it has stopped listening. Afterwards connections are refused; until then one may
+    /// still be accepted and then reset.
     pub async fn stopped(&self) {
         while !self.task.is_finished() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -61,7 +61,7 @@
     }
 }
 
-/// A listener on a port of the system's choosing, and another socket that holds the port.
+/// Binds a listener to a free port, with a second socket that reserves the port.
 fn bind() -> io::Result<(TcpListener, Socket)> {
     let port = socket(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
     let address = port.local_addr()?;
@@ -72,7 +72,7 @@
     Ok((TcpListener::from_std(listener.into())?, port))
 }
 
-/// A socket bound to an address that others of this module may be bound to as well.
+/// Binds a socket with `SO_REUSEPORT`, so that the listener and the reserving socket share a port.
 fn socket(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
--- a/crates/holdpoint-standin/src/tally.rs
+++ b/crates/holdpoint-standin/src/tally.rs
@@ -1,36 +1,36 @@
-//! What targets truly ran, by the marker that each request carries in its input.
+//! Counts the runs of requests at targets, by the marker that each request carries in its input.
 
 use std::{collections::HashMap, sync::Arc};
 
 use parking_lot::Mutex;
 use serde_json::Value;
 
-/// Field of an input that marks the request it belongs to.
+/// Input field that identifies the request.
 pub const MARKER: &str = "marker";
 
 /// Pool and marker, or pool and idempotency key.
-type AtPool = (String, String);
+type PoolKey = (String, String);
 
 /// Counts runs by pool and marker; clones share their counts.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    runs: Arc<Mutex<HashMap<AtPool, u32>>>,
-    keys: Arc<Mutex<HashMap<AtPool, Option<Value>>>>,
+    runs: Arc<Mutex<HashMap<PoolKey, u32>>>,
+    keys: Arc<Mutex<HashMap<PoolKey, Option<Value>>>>,
 }
 
-/// How an idempotency key stands at a pool that checks keys.
+/// State of an idempotency key at a pool that checks keys.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyState {
-    /// Never seen before: the caller of [`Tally::claim_key`] runs it.
+    /// Not seen before: the caller of [`Tally::claim_key`] must run the request.
     First,
-    /// Being run by another call.
+    /// Another call is running the request.
     Running,
-    /// Run before, with this output.
+    /// The request has run, with this output.
     Done(Value),
 }
 
 impl Tally {
-    /// Makes an empty tally.
+    /// Creates an empty tally.
     pub fn new() -> Tally {
         Tally::default()
     }
@@ -40,7 +40,7 @@
         *self.runs.lock().entry((pool.to_owned(), marker.to_owned())).or_default() += 1;
     }
 
-    /// Checks a key at a pool, whose targets share what they know, and marks it as running.
+    /// Returns the state of a key, and marks a new key as running. The targets of a pool share keys.
     pub fn claim_key(&self, pool: &str, key: &str) -> KeyState {
         let mut keys = self.keys.lock();
         match keys.get(&(pool.to_owned(), key.to_owned())) {
@@ -54,22 +54,23 @@
     }
 
     /// Records the output of a key.
-    pub fn end_key(&self, pool: &str, key: &str, output: Value) {
+    pub fn complete_key(&self, pool: &str, key: &str, output: Value) {
         self.keys.lock().insert((pool.to_owned(), key.to_owned()), Some(output));
     }
 
-    /// Runs of a request by a pool.
+    /// Number of runs of a request at a pool.
     pub fn runs(&self, pool: &str, marker: &str) -> u32 {
         self.runs.lock().get(&(pool.to_owned(), marker.to_owned())).copied().unwrap_or(0)
     }
 
-    /// Runs by a pool, of all requests.
+    /// Number of runs of all requests at a pool.
     pub fn total(&self, pool: &str) -> u64 {
         self.runs.lock().iter().filter(|it| it.0.0 == pool).map(|it| u64::from(*it.1)).sum()
     }
 }
 
-/// All different markers in a value. An answer that holds another request's marker is crossed.
+/// Distinct markers in a value, sorted. A marker of another request in an answer means that answers
+/// were mixed up.
 pub fn markers(value: &Value) -> Vec<String> {
     let mut found = Vec::new();
     collect(value, &mut found);
@@ -89,7 +90,7 @@
             }
         }
         Value::Array(items) => items.iter().for_each(|it| collect(it, found)),
-        // A generated text may itself be JSON that an earlier stage put into the prompt.
+        // Text may itself be JSON, such as the output of an earlier stage in a prompt.
         Value::String(it) if it.starts_with('{') => {
             if let Ok(inner) = serde_json::from_str(it) {
                 collect(&inner, found);
--- a/crates/holdpoint-standin/src/target.rs
+++ b/crates/holdpoint-standin/src/target.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for targets: generation engines, and encoders, retrievers, rerankers and services.
+//! Stand-in for targets: generation engines, encoders, retrievers, rerankers and services.
 
 use std::{
     collections::HashMap,
@@ -37,69 +37,69 @@
     tally::{KeyState, Tally, markers},
 };
 
-/// Fault switches of a target. Parts are of a thousand calls.
+/// Faults of a target. Numbers are rates per thousand.
 #[derive(Clone, Debug, Default)]
 pub struct TargetFaults {
-    /// Added to the time of every call.
+    /// Added to the duration of every call.
     pub delay: Duration,
-    /// Calls refused with status 500 before they are run.
+    /// Calls rejected with status 500 without being run.
     pub error: u32,
-    /// Calls run whose answer is then lost.
+    /// Calls that are run but whose answer is truncated.
     pub lose_answer: u32,
     /// Calls that are accepted and never answered.
     pub hang: u32,
-    /// Calls answered with another attempt's id.
+    /// Calls answered with the id of another attempt.
     pub cross: u32,
     /// Chunks sent twice.
     pub duplicate: u32,
     /// Pairs of chunks sent in the wrong order.
     pub reorder: u32,
-    /// Streams cut after half of their chunks.
+    /// Streams truncated after half of their chunks.
     pub cut: u32,
-    /// Streams cut between their last chunk and the end mark.
+    /// Streams truncated between the last chunk and the end marker.
     pub cut_end: u32,
-    /// Whether the target says that it is leaving.
+    /// Whether answers announce that the target is draining.
     pub leaving: bool,
 }
 
-/// How a target behaves when nothing fails.
+/// Configuration of a target.
 #[derive(Clone, Debug)]
 pub struct TargetForm {
-    /// Pool that it belongs to.
+    /// Pool of the target.
     pub pool: String,
     /// Failure domain.
     pub domain: String,
-    /// Time of one call, or of one step of an engine.
+    /// Duration of a call, or of an engine's generation step.
     pub step: Duration,
-    /// Calls that it runs at once; more wait.
+    /// Most calls that run concurrently; others wait.
     pub slots: usize,
-    /// Whether it runs a call with an idempotency key that it has seen only once.
+    /// Whether calls with the same idempotency key run only once.
     pub checks_keys: bool,
-    /// Whether it refuses orders whose fencing token is below the highest it has seen.
+    /// Whether orders without a fencing token, or with one below the highest seen, are rejected.
     pub checks_tokens: bool,
 }
 
-/// An order that an engine has followed.
+/// Order that an engine has applied.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Followed {
-    /// Fencing token, where one was given.
+pub struct AppliedOrder {
+    /// Fencing token, if one was given.
     pub token: Option<u64>,
-    /// What it was to hold.
+    /// The order.
     pub order: EngineOrder,
 }
 
 #[derive(Debug, Default)]
 struct Orders {
-    followed: Vec<Followed>,
+    applied: Vec<AppliedOrder>,
     highest: u64,
-    refused: u64,
+    rejected: u64,
 }
 
 #[derive(Debug, Default)]
 struct Buffer {
     chunks: Mutex<Vec<String>>,
     total: usize,
-    grown: Notify,
+    appended: Notify,
     cancelled: Mutex<bool>,
 }
 
@@ -119,7 +119,7 @@
     orders: Mutex<Orders>,
 }
 
-/// The stand-in.
+/// Server of a target.
 #[derive(Debug)]
 pub struct TargetStandin {
     server: Server,
@@ -127,7 +127,7 @@
 }
 
 impl TargetStandin {
-    /// Starts a target; `seed` fixes which calls its faults hit.
+    /// Starts a target; `seed` determines which calls its faults affect.
     pub async fn start(form: TargetForm, tally: Tally, seed: u64) -> TargetStandin {
         let inner = Arc::new(Inner {
             incarnation: format!("{}-{seed}", form.pool),
@@ -146,53 +146,53 @@
         let router = Router::new()
             .route("/v1/completions", post(complete))
             .route("/v1/streams", any(stream_of))
-            .route("/v1/holding", get(report).put(follow))
+            .route("/v1/holding", get(report).put(apply_order))
             .fallback(post(run))
             .with_state(inner.clone());
         TargetStandin { server: Server::start(router).await, inner }
     }
 
-    /// Address, as IP number and port.
+    /// Address as `IP:port`.
     pub fn address(&self) -> &str {
         self.server.address()
     }
 
-    /// Fault switches.
+    /// Faults, to be changed in place.
     pub fn faults(&self) -> MutexGuard<'_, TargetFaults> {
         self.inner.faults.lock()
     }
 
-    /// Calls that reached it.
+    /// Number of new calls received.
     pub fn calls(&self) -> u64 {
         self.inner.calls.load(Ordering::Relaxed)
     }
 
-    /// Wall-clock time of the last new call, in milliseconds.
+    /// Wall-clock time of the last new call, in milliseconds since the Unix epoch.
     pub fn last_call(&self) -> u64 {
         self.inner.last_call.load(Ordering::Relaxed)
     }
 
-    /// Orders that it has followed.
-    pub fn followed(&self) -> Vec<Followed> {
-        self.inner.orders.lock().followed.clone()
+    /// Orders that it has applied, in order.
+    pub fn followed(&self) -> Vec<AppliedOrder> {
+        self.inner.orders.lock().applied.clone()
     }
 
-    /// Orders that it has refused for their token.
+    /// Number of orders rejected because of their fencing token.
     pub fn refused_orders(&self) -> u64 {
-        self.inner.orders.lock().refused
+        self.inner.orders.lock().rejected
     }
 
-    /// Stops listening, as soon as the runtime comes to it.
+    /// Requests a stop, which takes effect once the runtime has dropped the server's task.
     pub fn stop(&self) {
         self.server.stop();
     }
 
-    /// Waits until it has stopped listening: from then on connections to it are refused.
+    /// Waits until it has stopped listening. Afterwards connections are refused.
     pub async fn stopped(&self) {
         self.server.stopped().await;
     }
 
-    /// Its entry in the platform's list.
+    /// Entry of the target in the platform's list.
     pub fn listed(&self) -> ListedTarget {
         ListedTarget {
             address: self.address().to_owned(),
@@ -205,22 +205,24 @@
 }
 
 impl Inner {
-    fn hits(&self, part: u32) -> bool {
-        0 < part && self.rng.lock().random_range(0..1000) < part
+    fn is_hit(&self, per_mille: u32) -> bool {
+        0 < per_mille && self.rng.lock().random_range(0..1000) < per_mille
     }
 
-    fn arrived(&self) {
+    fn record_call(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.last_call.store(crate::serve::wall_ms(), Ordering::Relaxed);
     }
 
-    fn signed(&self, headers: &HeaderMap, cost_ms: u64, mut reply: Response) -> Response {
+    fn with_headers(&self, headers: &HeaderMap, cost_ms: u64, mut reply: Response) -> Response {
         let faults = self.faults.lock().clone();
         let out = reply.headers_mut();
-        let value = |it: String| HeaderValue::from_str(&it).expect("the text is plain");
+        let value = |it: String| {
+            HeaderValue::from_str(&it).expect("header value has only visible ASCII characters")
+        };
         let attempt = headers.get("x-request-id").cloned().unwrap_or(value(String::new()));
-        let crossed = self.hits(faults.cross);
-        let echo = if crossed { value("other:1:0:0".to_owned()) } else { attempt };
+        let is_crossed = self.is_hit(faults.cross);
+        let echo = if is_crossed { value("other:1:0:0".to_owned()) } else { attempt };
         out.insert("x-request-id", echo);
         out.insert("target-incarnation", value(self.incarnation.clone()));
         out.insert("target-cost-ms", value(cost_ms.to_string()));
@@ -234,23 +236,23 @@
         reply
     }
 
-    /// Faults that keep a call from being run.
-    async fn refused(&self, headers: &HeaderMap) -> Option<Response> {
+    /// Applies the faults that prevent a call from being run; returns the rejection, if any.
+    async fn rejection(&self, headers: &HeaderMap) -> Option<Response> {
         let faults = self.faults.lock().clone();
-        if self.hits(faults.hang) {
+        if self.is_hit(faults.hang) {
             std::future::pending::<()>().await;
         }
-        if self.hits(faults.error) {
+        if self.is_hit(faults.error) {
             let reply = StatusCode::INTERNAL_SERVER_ERROR.into_response();
-            return Some(self.signed(headers, 0, reply));
+            return Some(self.with_headers(headers, 0, reply));
         }
         None
     }
 }
 
 async fn run(State(inner): State<Arc<Inner>>, headers: HeaderMap, body: Bytes) -> Response {
-    inner.arrived();
-    if let Some(it) = inner.refused(&headers).await {
+    inner.record_call();
+    if let Some(it) = inner.rejection(&headers).await {
         return it;
     }
     let Ok(value) = serde_json::from_slice::<Value>(&body) else {
@@ -261,24 +263,27 @@
     match key.as_ref().map(|it| inner.tally.claim_key(&inner.form.pool, it)) {
         None | Some(KeyState::First) => (),
         Some(KeyState::Running) => {
-            return inner.signed(&headers, 0, StatusCode::CONFLICT.into_response());
+            return inner.with_headers(&headers, 0, StatusCode::CONFLICT.into_response());
+        }
+        Some(KeyState::Done(it)) => {
+            return inner.with_headers(&headers, 0, Json(it).into_response());
         }
-        Some(KeyState::Done(it)) => return inner.signed(&headers, 0, Json(it).into_response()),
     }
     let cost = work(&inner, 1).await;
     let found = markers(&value);
     found.iter().for_each(|it| inner.tally.add(&inner.form.pool, it));
     let output = json!({ "pool": inner.form.pool, "marker": found.first(), "of": found.len() });
     if let Some(it) = key {
-        inner.tally.end_key(&inner.form.pool, &it, output.clone());
+        inner.tally.complete_key(&inner.form.pool, &it, output.clone());
     }
-    if inner.hits(inner.faults.lock().lose_answer) {
-        return inner.signed(&headers, cost, broken());
+    if inner.is_hit(inner.faults.lock().lose_answer) {
+        return inner.with_headers(&headers, cost, truncated_response());
     }
-    inner.signed(&headers, cost, Json(output).into_response())
+    inner.with_headers(&headers, cost, Json(output).into_response())
 }
 
-/// Waits for a slot and works for `steps` steps; returns the milliseconds spent.
+/// Waits for a slot and simulates work of `steps` steps; returns its duration in milliseconds,
+/// without the wait.
 async fn work(inner: &Inner, steps: u32) -> u64 {
     inner.waiting.fetch_add(1, Ordering::Relaxed);
     let slot = inner.slots.acquire().await;
@@ -291,8 +296,8 @@
     (inner.form.step * steps + delay).as_millis() as u64
 }
 
-/// An answer whose body breaks off, as when the connection is lost after the call took effect.
-fn broken() -> Response {
+/// Response whose body ends with an error, as if the connection was lost after the call ran.
+fn truncated_response() -> Response {
     let parts: [Result<Bytes, std::io::Error>; 2] = [
         Ok(Bytes::from_static(b"{")),
         Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset)),
@@ -305,8 +310,8 @@
     headers: HeaderMap,
     Json(completion): Json<Completion>,
 ) -> Response {
-    inner.arrived();
-    if let Some(it) = inner.refused(&headers).await {
+    inner.record_call();
+    if let Some(it) = inner.rejection(&headers).await {
         return it;
     }
     let attempt = attempt_of(&headers);
@@ -314,7 +319,7 @@
     let buffer = Arc::new(Buffer { total, ..Buffer::default() });
     inner.streams.lock().insert(attempt.clone(), buffer.clone());
     tokio::spawn(generate(inner.clone(), buffer.clone(), completion));
-    served(&inner, &headers, attempt, buffer, 0)
+    stream_response(&inner, &headers, attempt, buffer, 0)
 }
 
 async fn stream_of(
@@ -332,11 +337,11 @@
     }
     let last = headers.get("last-event-id").and_then(|it| it.to_str().ok());
     let next = last.and_then(|it| it.parse::<usize>().ok()).map_or(0, |it| it + 1);
-    served(&inner, &headers, attempt, buffer, next)
+    stream_response(&inner, &headers, attempt, buffer, next)
 }
 
 async fn report(State(inner): State<Arc<Inner>>) -> Json<EngineReport> {
-    let last = inner.orders.lock().followed.last().map(|it| it.order.clone());
+    let last = inner.orders.lock().applied.last().map(|it| it.order.clone());
     let nothing = EngineOrder { model: String::new(), adapter: String::new(), role: "both".into() };
     Json(EngineReport {
         holds: last.unwrap_or(nothing),
@@ -345,7 +350,7 @@
     })
 }
 
-async fn follow(
+async fn apply_order(
     State(inner): State<Arc<Inner>>,
     headers: HeaderMap,
     Json(order): Json<EngineOrder>,
@@ -354,11 +359,11 @@
     let token = token.and_then(|it| it.parse::<u64>().ok());
     let mut orders = inner.orders.lock();
     if inner.form.checks_tokens && token.is_none_or(|it| it < orders.highest) {
-        orders.refused += 1;
+        orders.rejected += 1;
         return StatusCode::PRECONDITION_FAILED;
     }
     orders.highest = orders.highest.max(token.unwrap_or(0));
-    orders.followed.push(Followed { token, order });
+    orders.applied.push(AppliedOrder { token, order });
     StatusCode::NO_CONTENT
 }
 
@@ -366,7 +371,7 @@
     headers.get("x-request-id").and_then(|it| it.to_str().ok()).unwrap_or_default().to_owned()
 }
 
-/// Generates chunks at the engine's step, whether or not anyone reads them.
+/// Generates one chunk per step until complete or cancelled, whether or not there is a reader.
 async fn generate(inner: Arc<Inner>, buffer: Arc<Buffer>, completion: Completion) {
     inner.waiting.fetch_add(1, Ordering::Relaxed);
     let slot = inner.slots.acquire().await;
@@ -384,13 +389,13 @@
         }
         let marker = found.first().map_or("none", String::as_str);
         buffer.chunks.lock().push(format!("{marker}/{index} "));
-        buffer.grown.notify_waiters();
+        buffer.appended.notify_waiters();
     }
     inner.running.fetch_sub(1, Ordering::Relaxed);
     drop(slot);
 }
 
-fn served(
+fn stream_response(
     inner: &Arc<Inner>,
     headers: &HeaderMap,
     attempt: String,
@@ -398,8 +403,8 @@
     next: usize,
 ) -> Response {
     let faults = inner.faults.lock().clone();
-    let is_cut_at_end = inner.hits(faults.cut_end);
-    let cut = inner.hits(faults.cut).then_some(buffer.total / 2);
+    let is_cut_at_end = inner.is_hit(faults.cut_end);
+    let cut = inner.is_hit(faults.cut).then_some(buffer.total / 2);
     let cut = cut.or(is_cut_at_end.then_some(buffer.total));
     let engine_ms = inner.form.step.as_millis() as u64 * buffer.total as u64;
     let reader = Reader { inner: inner.clone(), attempt, buffer, next, cut, engine_ms };
@@ -408,7 +413,7 @@
         (!batch.is_empty()).then_some((stream::iter(batch), it))
     });
     let events = events.flatten().map(Ok::<Event, Infallible>);
-    inner.signed(headers, 0, Sse::new(events).into_response())
+    inner.with_headers(headers, 0, Sse::new(events).into_response())
 }
 
 struct Reader {
@@ -421,7 +426,7 @@
 }
 
 impl Reader {
-    /// The next few events; none at the end of the connection.
+    /// Next events; empty at the end of the response.
     async fn batch(&mut self) -> Vec<Event> {
         let total = self.buffer.total;
         if total < self.next || self.cut.is_some_and(|it| it <= self.next) {
@@ -432,12 +437,12 @@
             return vec![self.usage(), Event::default().id(total.to_string()).data("[DONE]")];
         }
         let faults = self.inner.faults.lock().clone();
-        let pair = self.next + 1 < total && self.inner.hits(faults.reorder);
-        let n = if pair { 2 } else { 1 };
+        let is_pair = self.next + 1 < total && self.inner.is_hit(faults.reorder);
+        let n = if is_pair { 2 } else { 1 };
         self.wait_for(self.next + n).await;
         let mut events: Vec<Event> =
             (self.next..self.next + n).rev().map(|it| self.chunk(it)).collect();
-        if self.inner.hits(faults.duplicate) {
+        if self.inner.is_hit(faults.duplicate) {
             events.push(self.chunk(self.next));
         }
         self.next += n;
@@ -446,13 +451,13 @@
 
     async fn wait_for(&self, n: usize) {
         loop {
-            let grown = self.buffer.grown.notified();
-            tokio::pin!(grown);
-            grown.as_mut().enable();
+            let appended = self.buffer.appended.notified();
+            tokio::pin!(appended);
+            appended.as_mut().enable();
             if n <= self.buffer.chunks.lock().len() {
                 return;
             }
-            grown.await;
+            appended.await;
         }
     }
 
@@ -472,6 +477,6 @@
 
     fn event(&self, choices: Vec<CompletionChoice>, usage: Option<CompletionUsage>) -> Event {
         let chunk = CompletionChunk { id: self.attempt.clone(), choices, usage };
-        Event::default().json_data(chunk).expect("a chunk is JSON")
+        Event::default().json_data(chunk).expect("a chunk serialises to JSON")
     }
 }
