--- a/crates/holdpoint-soak/src/callers.rs
+++ b/crates/holdpoint-soak/src/callers.rs
@@ -24,7 +24,7 @@
 
 use crate::{Millis, fleet::Clock, verdict::EVENTS};
 
-/// Longest wait for a connection or an answer.
+/// Longest wait for a connection or an answer; exceeds the deadline that requests carry.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Timeout of the requests that callers cancel early.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(30);
--- a/crates/holdpoint-soak/src/faults.rs
+++ b/crates/holdpoint-soak/src/faults.rs
@@ -17,10 +17,10 @@
 
 /// Injects all faults of the plan, then clears those that are still active.
 pub(crate) async fn play(fleet: &Arc<Fleet>, plan: &Plan) {
-    let begun = fleet.clock.now();
+    let start = fleet.clock.now();
     let mut injecting = JoinSet::new();
     for fault in &plan.faults {
-        let wait = (begun + fault.at).saturating_sub(fleet.clock.now());
+        let wait = (start + fault.at).saturating_sub(fleet.clock.now());
         sleep(Duration::from_millis(wait)).await;
         injecting.spawn(inject(fleet.clone(), *fault));
     }
@@ -40,7 +40,7 @@
             fleet.signal(process, Signal::CONT);
         }
         FaultKind::StoreLink(process, link_fault) => {
-            fail_link(&fleet.store_links[process], link_fault, duration).await
+            fail_link(&fleet.store_links[process], link_fault, duration).await;
         }
         FaultKind::TargetLink(target, link_fault) => {
             let from = fleet.clock.now();
@@ -93,14 +93,14 @@
 
 /// Starts a replacement for a target in the same service, then marks the target as draining for good.
 async fn replace(fleet: &Fleet, target: usize) {
-    let leaving = &fleet.targets[target].target;
+    let draining = &fleet.targets[target].target;
     let count = fleet.replacements.lock().len();
     let id = format!("i-joined-{target}-{count}-{}", fleet.clock.now());
-    let replacement = Target::start(&id, &leaving.service, normal_behaviour(target)).await;
+    let replacement = Target::start(&id, &draining.service, normal_behaviour(target)).await;
     // A new target starts cold.
     fleet.store.put_target_in(&replacement, &domain_of(target), COLD_START_MS);
     fleet.replacements.lock().push(replacement);
-    fleet.store.put_target(leaving, true);
+    fleet.store.put_target(draining, true);
 }
 
 fn clear_all(fleet: &Fleet) {
--- a/crates/holdpoint-soak/src/fleet.rs
+++ b/crates/holdpoint-soak/src/fleet.rs
@@ -422,7 +422,7 @@
 
 /// Waits until each process serves with the newest configuration; reports those that time out.
 async fn recover(fleet: &Fleet) -> Vec<Finding> {
-    let begun = fleet.clock.now();
+    let start = fleet.clock.now();
     let mut findings = Vec::new();
     for process in 0..fleet.pids.len() {
         let recovered = tokio::time::timeout(RECOVERY_TIMEOUT, until_serving(fleet, process)).await;
@@ -430,7 +430,7 @@
             let id = format!("p{process}");
             let version = *fleet.version.lock();
             let detail = format!("does not serve with configuration {version}");
-            findings.push(Finding { invariant: Invariant::Recovered, id, at: begun, detail });
+            findings.push(Finding { invariant: Invariant::Recovered, id, at: start, detail });
         }
     }
     findings
--- a/crates/holdpoint-soak/src/notices.rs
+++ b/crates/holdpoint-soak/src/notices.rs
@@ -25,7 +25,7 @@
     /// Request id; empty for calls that a process makes on its own behalf.
     pub request: String,
     /// Whether the answer announced that the target is draining.
-    pub says_leaving: bool,
+    pub has_drain_notice: bool,
     /// Backoff requested by the answer, in milliseconds.
     pub backoff_ms: Option<Millis>,
 }
@@ -33,7 +33,7 @@
 impl Arrival {
     pub(crate) fn new(at: Millis, arrival: standin::Arrival) -> Arrival {
         let backoff_ms = arrival.rest.map(|it| it.as_millis() as Millis);
-        Arrival { at, request: arrival.request, says_leaving: arrival.says_leaving, backoff_ms }
+        Arrival { at, request: arrival.request, has_drain_notice: arrival.says_leaving, backoff_ms }
     }
 }
 
@@ -62,7 +62,7 @@
     };
     let mut findings = Vec::new();
     let mut notified: HashMap<usize, Millis> = HashMap::new();
-    for attempt in notices.arrivals.iter().filter(|it| it.says_leaving).filter_map(of) {
+    for attempt in notices.arrivals.iter().filter(|it| it.has_drain_notice).filter_map(of) {
         if attempt.is_answered_by(notices.target) {
             let first = notified.entry(attempt.process).or_insert(attempt.ended);
             *first = attempt.ended.min(*first);
--- a/crates/holdpoint-soak/tests/judge.rs
+++ b/crates/holdpoint-soak/tests/judge.rs
@@ -96,7 +96,7 @@
 /// Attempts at process 0 that reached target `a`; `arrivals` has the times of sending and arrival.
 fn notices(
     arrivals: &[(Millis, Millis)],
-    says_leaving: bool,
+    has_drain_notice: bool,
     backoff_ms: Option<Millis>,
 ) -> (Vec<Attempt>, Notices<'static>) {
     let id = |index: usize| format!("r-{index}");
@@ -117,7 +117,7 @@
     let arrivals = arrivals.iter().enumerate().map(|(index, (_, at))| Arrival {
         at: *at,
         request: id(index),
-        says_leaving,
+        has_drain_notice,
         backoff_ms: backoff_ms.filter(|_| index == 0),
     });
     (attempts, Notices { target: "a", arrivals: arrivals.collect(), outages: Vec::new() })
@@ -134,7 +134,7 @@
 fn a_target_that_said_that_it_leaves_gets_nothing_two_seconds_later() {
     let late = notices(&[(100, 110), (2130, 2140)], true, None);
     assert_eq!(finding_count(&late, &[]), 1);
-    assert_eq!(finding_count(&late, &[1000]), 0, "its process has started again");
+    assert_eq!(finding_count(&late, &[1000]), 0, "the process was interrupted");
     assert_eq!(
         finding_count(&notices(&[(100, 110), (2110, 2140)], true, None), &[]),
         0,
@@ -151,7 +151,7 @@
     };
     let three = asked(&[100, 700, 800, 3000]);
     assert_eq!(finding_count(&three, &[]), 1);
-    assert_eq!(finding_count(&three, &[2000]), 0, "its process has started again");
+    assert_eq!(finding_count(&three, &[2000]), 0, "the process was interrupted");
     assert_eq!(finding_count(&asked(&[100, 300, 500, 599, 700, 800, 3100]), &[]), 0);
     let (attempts, mut notices) = three;
     notices.outages.push(50..=150);
