--- a/crates/holdpoint-standin/src/relay.rs
+++ b/crates/holdpoint-standin/src/relay.rs
@@ -21,8 +21,8 @@
 #[derive(Debug, Default)]
 struct Inner {
     target: Mutex<String>,
-    loses_calls: AtomicBool,
-    loses_answers: AtomicBool,
+    drops_calls: AtomicBool,
+    drops_answers: AtomicBool,
 }
 
 /// A relay; it stops accepting connections when dropped.
@@ -55,8 +55,8 @@
 
     /// Sets whether data to the destination (`calls`) and from it (`answers`) is silently dropped.
     pub fn lose(&self, calls: bool, answers: bool) {
-        self.inner.loses_calls.store(calls, Ordering::Release);
-        self.inner.loses_answers.store(answers, Ordering::Release);
+        self.inner.drops_calls.store(calls, Ordering::Release);
+        self.inner.drops_answers.store(answers, Ordering::Release);
     }
 }
 
@@ -76,9 +76,9 @@
         let (near_read, near_write) = stream.into_split();
         let (far_read, far_write) = far.into_split();
         let (calls, answers) = (inner.clone(), inner.clone());
-        tokio::spawn(pass(near_read, far_write, move || calls.loses_calls.load(Ordering::Acquire)));
+        tokio::spawn(pass(near_read, far_write, move || calls.drops_calls.load(Ordering::Acquire)));
         tokio::spawn(pass(far_read, near_write, move || {
-            answers.loses_answers.load(Ordering::Acquire)
+            answers.drops_answers.load(Ordering::Acquire)
         }));
     }
 }
