--- a/crates/holdpoint-soak/src/fleet.rs
+++ b/crates/holdpoint-soak/src/fleet.rs
@@ -87,7 +87,7 @@
     }
 
     /// Creates the log file of a process, if logs are kept.
-    fn log_of(&self, seed: u64, process: usize) -> Option<File> {
+    fn create_log(&self, seed: u64, process: usize) -> Option<File> {
         let path = self.logs.as_ref()?.join(format!("{seed}-p{process}.log"));
         // Logs are optional: the soak is judged without them.
         File::create(path).ok()
@@ -277,11 +277,11 @@
         let child = start_process(&fleet, builds.program(index, 0), index).map_err(cannot_start)?;
         processes.push(tokio::spawn(supervise(fleet.clone(), builds.clone(), index, child)));
     }
-    let mut findings = recover(&fleet).await;
+    let mut findings = await_recovery(&fleet).await;
     let sending: Vec<_> =
         (0..plan.callers).map(|it| tokio::spawn(callers::run(fleet.callers.clone(), it))).collect();
     faults::play(&fleet, plan).await;
-    findings.extend(recover(&fleet).await);
+    findings.extend(await_recovery(&fleet).await);
     fleet.callers.is_over.store(true, Ordering::Release);
     for it in sending {
         // The attempts of a caller that panicked are already recorded.
@@ -389,7 +389,7 @@
 
 /// Reads the log of a process until it ends and restarts it, until a start fails.
 async fn supervise(fleet: Arc<Fleet>, builds: Builds, index: usize, mut child: Child) {
-    let mut log = builds.log_of(fleet.callers.seed, index);
+    let mut log = builds.create_log(fleet.callers.seed, index);
     for incarnation in 1.. {
         if let Some(lines) = child.stderr.take() {
             let mut lines = BufReader::new(lines).lines();
@@ -421,11 +421,12 @@
 const PROBE: &str = "probe-";
 
 /// Waits until each process serves with the newest configuration; reports those that time out.
-async fn recover(fleet: &Fleet) -> Vec<Finding> {
+async fn await_recovery(fleet: &Fleet) -> Vec<Finding> {
     let start = fleet.clock.now();
     let mut findings = Vec::new();
     for process in 0..fleet.pids.len() {
-        let recovered = tokio::time::timeout(RECOVERY_TIMEOUT, until_serving(fleet, process)).await;
+        let recovered =
+            tokio::time::timeout(RECOVERY_TIMEOUT, wait_until_serving(fleet, process)).await;
         if recovered.is_err() {
             let id = format!("p{process}");
             let version = *fleet.version.lock();
@@ -436,7 +437,7 @@
     findings
 }
 
-async fn until_serving(fleet: &Fleet, process: usize) {
+async fn wait_until_serving(fleet: &Fleet, process: usize) {
     let mut count = 0;
     loop {
         count += 1;
--- a/crates/holdpoint-soak/src/notices.rs
+++ b/crates/holdpoint-soak/src/notices.rs
@@ -81,16 +81,16 @@
             findings.push(Finding { invariant: Invariant::Drained, id, at, detail });
         }
     }
-    for asked in &notices.arrivals {
-        let (Some(ms), Some(by)) = (asked.backoff_ms, of(asked)) else { continue };
-        let span = asked.at..=asked.at + ms;
+    for notice in &notices.arrivals {
+        let (Some(ms), Some(by)) = (notice.backoff_ms, of(notice)) else { continue };
+        let span = notice.at..=notice.at + ms;
         let is_lossy =
             notices.outages.iter().any(|it| it.start() <= span.end() && span.start() <= it.end());
         if is_lossy || is_interrupted(by.process, span) {
             continue;
         }
         let in_backoff = |it: &&Arrival| {
-            (asked.at + IN_FLIGHT_MS..asked.at + ms).contains(&it.at)
+            (notice.at + IN_FLIGHT_MS..notice.at + ms).contains(&it.at)
                 && of(it).is_some_and(|it| it.process == by.process)
         };
         let count = notices.arrivals.iter().filter(in_backoff).count();
@@ -99,7 +99,7 @@
                 "{} asked p{} for {ms} ms of backoff and got {count} requests",
                 notices.target, by.process
             );
-            let (id, at) = (asked.request.clone(), asked.at);
+            let (id, at) = (notice.request.clone(), notice.at);
             findings.push(Finding { invariant: Invariant::BackedOff, id, at, detail });
         }
     }
--- a/crates/holdpoint-soak/src/plan.rs
+++ b/crates/holdpoint-soak/src/plan.rs
@@ -15,7 +15,7 @@
 pub(crate) const DOMAINS: usize = 3;
 /// Mean time between two faults or series of faults.
 const FAULT_INTERVAL_MS: Millis = 250;
-/// Upper bound on the duration of a fault.
+/// Upper bound on the duration of a fault, except limits and drain notices.
 const MAX_FAULT_MS: Millis = 1500;
 /// Number of limit announcements in a soak.
 const LIMIT_COUNT: usize = 3;
--- a/crates/holdpoint-soak/src/verdict.rs
+++ b/crates/holdpoint-soak/src/verdict.rs
@@ -23,7 +23,7 @@
     Intact,
     /// Targets run only requests that callers sent, unchanged.
     Requested,
-    /// A request that has run is answered, unless its process was killed.
+    /// A request for a single response that has run is answered, unless its process was killed.
     Answered,
     /// A target receives at most one and a half times its limit plus five requests.
     WithinLimit,
@@ -147,13 +147,13 @@
         let ran = by_id.remove(attempt.id.as_str()).unwrap_or_default();
         judge_attempt(attempt, &ran, kills, &mut findings);
     }
-    let unasked = by_id.into_iter().map(|(id, ran)| Finding {
+    let spurious = by_id.into_iter().map(|(id, ran)| Finding {
         invariant: Invariant::Requested,
         id: id.to_owned(),
         at: 0,
         detail: format!("ran at {}", ran[0].0),
     });
-    findings.extend(unasked);
+    findings.extend(spurious);
     findings
 }
 
@@ -186,10 +186,10 @@
                 report(Invariant::NotRun, format!("{status}, ran at {}", targets.join(", ")));
             }
             let is_success = (200..300).contains(status);
-            let signs = |target: &&str| {
+            let is_signed = |target: &&str| {
                 signature.as_deref() == Some(&format!("stamp-{target}-{}", attempt.id))
             };
-            if is_success && !targets.iter().any(signs) {
+            if is_success && !targets.iter().any(is_signed) {
                 report(Invariant::Intact, format!("{status} signed {signature:?}"));
             }
             if is_success && *is_complete && *body != attempt.expected_body() {
