--- a/crates/holdpoint-standin/src/log.rs
+++ b/crates/holdpoint-standin/src/log.rs
@@ -140,7 +140,7 @@
     Path(stream): Path<String>,
     data: String,
 ) -> Response {
-    if let Some(it) = fault(&inner).await {
+    if let Some(it) = apply_faults(&inner).await {
         return it;
     }
     if !is_within_rate(&inner) {
@@ -172,7 +172,7 @@
     Path(stream): Path<String>,
     Query(query): Query<ReadQuery>,
 ) -> Response {
-    if let Some(it) = fault(&inner).await {
+    if let Some(it) = apply_faults(&inner).await {
         return it;
     }
     let deadline = tokio::time::Instant::now() + Duration::from_millis(query.wait);
@@ -223,7 +223,7 @@
     (LogBatch { first: stream.first, next: stream.next(), now, records }, expired)
 }
 
-async fn fault(inner: &Inner) -> Option<Response> {
+async fn apply_faults(inner: &Inner) -> Option<Response> {
     let (outage, delay) = {
         let faults = inner.faults.lock();
         (faults.outage, faults.delay)
--- a/crates/holdpoint-standin/src/target.rs
+++ b/crates/holdpoint-standin/src/target.rs
@@ -91,7 +91,7 @@
 #[derive(Debug, Default)]
 struct Orders {
     applied: Vec<AppliedOrder>,
-    highest: u64,
+    max_token: u64,
     rejected: u64,
 }
 
@@ -145,7 +145,7 @@
         });
         let router = Router::new()
             .route("/v1/completions", post(complete))
-            .route("/v1/streams", any(stream_of))
+            .route("/v1/streams", any(resume_or_cancel))
             .route("/v1/holding", get(report).put(apply_order))
             .fallback(post(run))
             .with_state(inner.clone());
@@ -322,7 +322,7 @@
     stream_response(&inner, &headers, attempt, buffer, 0)
 }
 
-async fn stream_of(
+async fn resume_or_cancel(
     State(inner): State<Arc<Inner>>,
     method: axum::http::Method,
     headers: HeaderMap,
@@ -358,11 +358,11 @@
     let token = headers.get("fencing-token").and_then(|it| it.to_str().ok());
     let token = token.and_then(|it| it.parse::<u64>().ok());
     let mut orders = inner.orders.lock();
-    if inner.form.checks_tokens && token.is_none_or(|it| it < orders.highest) {
+    if inner.form.checks_tokens && token.is_none_or(|it| it < orders.max_token) {
         orders.rejected += 1;
         return StatusCode::PRECONDITION_FAILED;
     }
-    orders.highest = orders.highest.max(token.unwrap_or(0));
+    orders.max_token = orders.max_token.max(token.unwrap_or(0));
     orders.applied.push(AppliedOrder { token, order });
     StatusCode::NO_CONTENT
 }
