--- a/crates/holdpoint-core/benches/decisions.rs
+++ b/crates/holdpoint-core/benches/decisions.rs
@@ -5,11 +5,11 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use holdpoint_core::{
-    admit::{Ask, Gate, Offer, Signal},
+    admit::{AdmissionRequest, Gate, Offer, Signal},
     batcher::Batcher,
     catalog::default_policy,
     cold::Share,
-    pieces::{CallEnd, Sizes, Waiting},
+    pieces::{CallEnd, CallProfile, QueuedItem},
     route::{Call, Member, Router},
 };
 use rand::SeedableRng;
@@ -30,8 +30,8 @@
             .map(|it| Member {
                 address: format!("t{it}"),
                 domain: "d".into(),
-                leaving: false,
-                held: false,
+                is_draining: false,
+                is_evacuated: false,
             })
             .collect();
         let policy = default_policy();
@@ -66,7 +66,13 @@
             bencher.iter(|| {
                 next = (next + 7919) % organisations;
                 let organisation = &names[next];
-                let ask = Ask { organisation, share: 1, cap: 64, deadline: 1000, need: 100 };
+                let ask = AdmissionRequest {
+                    organisation,
+                    share: 1,
+                    cap: 64,
+                    deadline: 1000,
+                    service_ms: 100,
+                };
                 if gate.offer(1, &ask) == Offer::Admit {
                     black_box(gate.done(1, organisation, Signal::Clear));
                 }
@@ -91,8 +97,8 @@
                 }
                 black_box(batcher.expire(1000));
                 let call = batcher.next(1000).expect("targets are free and items wait");
-                batcher.ended(1000, &call, CallEnd::Answered(370), &[]);
-                call.pieces.into_iter().skip(3).for_each(|it| batcher.offer(1000, it));
+                batcher.record_end(1000, &call, CallEnd::Answered(370), &[]);
+                call.items.into_iter().skip(3).for_each(|it| batcher.offer(1000, it));
             });
         });
     }
@@ -100,11 +106,11 @@
 }
 
 fn loaded_batcher(waiting: u64) -> Batcher {
-    let mut batcher = Batcher::new(Sizes {
-        calls: 1,
-        pieces: 46,
+    let mut batcher = Batcher::new(CallProfile {
+        max_calls: 1,
+        max_items: 46,
         call_ms: 200.0,
-        piece_ms: 3.7,
+        item_ms: 3.7,
         room_bytes: 0,
         keep_ms: 4000,
     });
@@ -113,11 +119,11 @@
     batcher
 }
 
-fn item(ticket: u64, group: u64) -> Waiting {
+fn item(ticket: u64, group: u64) -> QueuedItem {
     let due = 2000 + group % 3000;
     let (deadline, late_due) = (1_000_000, 1_000_000);
     let inputs_until = Some(5000);
-    Waiting { ticket, group, due, deadline, late_due, inputs_until, ..Waiting::default() }
+    QueuedItem { ticket, group, due, deadline, late_due, inputs_until, ..QueuedItem::default() }
 }
 
 criterion_group!(benches, routing, admission, batching);
--- a/crates/holdpoint-core/src/admit.rs
+++ b/crates/holdpoint-core/src/admit.rs
@@ -39,7 +39,7 @@
 
 /// A request for admission.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// Name of the organisation.
     pub organisation: &'a str,
     /// Its weight in fair sharing.
@@ -49,7 +49,7 @@
     /// Wall-clock time by which the response must be complete.
     pub deadline: Millis,
     /// Usual service time of the request, in milliseconds.
-    pub need: Millis,
+    pub service_ms: Millis,
 }
 
 /// Load observed at the end of a request.
@@ -57,7 +57,7 @@
 pub enum Signal {
     /// Unknown: it ended before a call to a target, or for a reason other than load.
     #[default]
-    Silent,
+    Unknown,
     /// No target had a queue.
     Clear,
     /// A target had a queue.
@@ -86,7 +86,7 @@
     /// The organisation has reached its cap.
     OrganisationLimit,
     /// The service time alone exceeds the deadline.
-    Hopeless,
+    DeadlineTooClose,
     /// The expected wait and the service time exceed the deadline.
     Overload,
 }
@@ -186,14 +186,14 @@
     }
 
     /// Decides on a request.
-    pub fn offer(&mut self, now: Millis, ask: &Ask<'_>) -> Offer {
+    pub fn offer(&mut self, now: Millis, ask: &AdmissionRequest<'_>) -> Offer {
         let refuse = |reason, retry_after: Millis| Offer::Refuse {
             reason,
             retry_after: retry_after.max(MIN_RETRY_MS),
         };
-        if ask.deadline < now + ask.need {
+        if ask.deadline < now + ask.service_ms {
             self.remove_if_idle(ask.organisation);
-            return refuse(Refusal::Hopeless, ask.need);
+            return refuse(Refusal::DeadlineTooClose, ask.service_ms);
         }
         let wait = self.expected_wait(ask);
         let is_full = self.limit() <= self.in_flight;
@@ -213,7 +213,7 @@
             self.in_flight += 1;
             return Offer::Admit;
         }
-        if ask.deadline < now + wait + ask.need {
+        if ask.deadline < now + wait + ask.service_ms {
             self.remove_if_idle(ask.organisation);
             return refuse(Refusal::Overload, wait);
         }
@@ -225,9 +225,9 @@
             self.ready_shares += u64::from(queue.share);
         }
         self.waiting += 1;
-        let place = queue.waiting.partition_point(|it| it.need <= ask.need);
-        let latest_start = ask.deadline - ask.need;
-        queue.waiting.insert(place, Waiting { ticket, need: ask.need, latest_start });
+        let place = queue.waiting.partition_point(|it| it.need <= ask.service_ms);
+        let latest_start = ask.deadline - ask.service_ms;
+        queue.waiting.insert(place, Waiting { ticket, need: ask.service_ms, latest_start });
         Offer::Defer(ticket)
     }
 
@@ -291,9 +291,10 @@
     /// Expected wait of a new request: the requests before it in its own queue, and those of other
     /// queues that fair queueing serves meanwhile. Uses sums over the other queues, since there may be
     /// thousands of them.
-    fn expected_wait(&self, ask: &Ask<'_>) -> Millis {
+    fn expected_wait(&self, ask: &AdmissionRequest<'_>) -> Millis {
         let own = self.queues.get(ask.organisation).filter(|it| !it.waiting.is_empty());
-        let first = own.map_or(0, |it| it.waiting.partition_point(|it| it.need <= ask.need)) + 1;
+        let first =
+            own.map_or(0, |it| it.waiting.partition_point(|it| it.need <= ask.service_ms)) + 1;
         let own_waiting = own.map_or(0, |it| it.waiting.len());
         let own_share = own.map_or(0, |it| u64::from(it.share));
         let other_shares = (self.ready_shares - own_share) as f64 / f64::from(ask.share.max(1));
@@ -319,7 +320,7 @@
                     (self.limit.min(self.in_flight as f64) * DECREASE_FACTOR).max(MIN_LIMIT);
                 self.last_decrease = now;
             }
-            Signal::Clear | Signal::Full | Signal::Silent => (),
+            Signal::Clear | Signal::Full | Signal::Unknown => (),
         }
     }
 
--- a/crates/holdpoint-core/src/assemble.rs
+++ b/crates/holdpoint-core/src/assemble.rs
@@ -8,7 +8,7 @@
     /// More chunks are expected.
     Open,
     /// All chunks before the end mark have been returned.
-    Whole,
+    Complete,
 }
 
 /// Orders chunks by index and drops duplicates.
@@ -65,6 +65,6 @@
 
     /// Whether all chunks of the stream have been returned.
     pub fn progress(&self) -> Progress {
-        if self.end.is_some_and(|it| it <= self.next) { Progress::Whole } else { Progress::Open }
+        if self.end.is_some_and(|it| it <= self.next) { Progress::Complete } else { Progress::Open }
     }
 }
--- a/crates/holdpoint-core/src/backoffs.rs
+++ b/crates/holdpoint-core/src/backoffs.rs
@@ -60,12 +60,12 @@
 
     /// Records that a target requests a backoff of unreadable length, which changes nothing. Returns whether to
     /// log that: once for each target, and for a limited number of them.
-    pub fn note_invalid(&mut self, id: &str) -> bool {
+    pub fn record_invalid(&mut self, id: &str) -> bool {
         self.invalid.len() < MAX_INVALID && self.invalid.insert(id.to_owned())
     }
 
     /// Remaining backoff of a target in milliseconds; 0 if none is active.
-    pub fn left(&self, now: Millis, (id, service): (&str, &str)) -> Millis {
+    pub fn remaining_ms(&self, now: Millis, (id, service): (&str, &str)) -> Millis {
         let known = self.by_service.get(service).and_then(|it| it.get(id));
         known.map_or(0, |it| it.until.saturating_sub(now))
     }
@@ -81,7 +81,7 @@
     }
 
     /// Drops the backoffs requested by earlier incarnations of a target than the one that started at `born`.
-    pub fn new_life(&mut self, id: &str, born: Option<Millis>) {
+    pub fn set_incarnation(&mut self, id: &str, born: Option<Millis>) {
         for of_service in self.by_service.values_mut() {
             if of_service.get(id).is_some_and(|it| it.born < born) {
                 of_service.remove(id);
@@ -91,7 +91,7 @@
     }
 
     /// Removes expired backoffs.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn remove_expired(&mut self, now: Millis) {
         self.by_service.values_mut().for_each(|it| it.retain(|_, it| now < it.until));
         self.by_service.retain(|_, it| !it.is_empty());
     }
--- a/crates/holdpoint-core/src/batch.rs
+++ b/crates/holdpoint-core/src/batch.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether no append is in progress.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         !self.in_flight
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Records that the append in progress has completed.
-    pub fn landed(&mut self) {
+    pub fn complete_append(&mut self) {
         self.in_flight = false;
     }
 }
--- a/crates/holdpoint-core/src/batcher/estimate.rs
+++ b/crates/holdpoint-core/src/batcher/estimate.rs
@@ -3,7 +3,7 @@
 use super::{Batcher, targets::Target};
 use crate::{
     ids::Millis,
-    pieces::{Call, Waiting},
+    pieces::{Call, QueuedItem},
     promises::StageLoad,
 };
 
@@ -23,7 +23,7 @@
 
 /// Predicted and actual time of a call's items, each as a mean.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Judgement {
+pub struct PredictionSample {
     /// Predicted time from offer to result, in milliseconds.
     pub predicted_ms: f64,
     /// Actual time from offer to result, in milliseconds.
@@ -51,10 +51,10 @@
 
 impl CallStats {
     /// Records a call that was answered after `ms` milliseconds.
-    fn record(&mut self, now: Millis, call: &Call, ms: Millis) -> Option<Judgement> {
+    fn record(&mut self, now: Millis, call: &Call, ms: Millis) -> Option<PredictionSample> {
         self.last_answered = now;
         let retained = 1.0 - CALL_WEIGHT;
-        let items = call.pieces.len() as f64;
+        let items = call.items.len() as f64;
         self.item_ms = retained * self.item_ms + items * ms as f64;
         self.items = retained * self.items + items;
         let max_items = call.sizes.max_items();
@@ -63,7 +63,7 @@
             let before = self.fill_ratio.unwrap_or(fill_ratio);
             self.fill_ratio = Some(before + CALL_WEIGHT * (fill_ratio - before));
         }
-        let predicted_items = || call.pieces.iter().filter_map(|it| Some((it, it.predicted_ms?)));
+        let predicted_items = || call.items.iter().filter_map(|it| Some((it, it.predicted_ms?)));
         let count = predicted_items().count() as f64;
         if count == 0.0 {
             return None;
@@ -72,7 +72,7 @@
         let took = predicted_items().map(|it| now.saturating_sub(it.0.offered) as f64).sum::<f64>()
             / count;
         let error = took - predicted;
-        let judgement = Judgement { predicted_ms: predicted + self.bias_ms, took_ms: took };
+        let judgement = PredictionSample { predicted_ms: predicted + self.bias_ms, took_ms: took };
         self.last_predicted = now;
         // Weighted by items, since a randomly chosen item is more likely to be in a large call.
         let weight = (count / self.items).min(1.0);
@@ -112,7 +112,7 @@
     /// Expected time until `items` more items with this due time complete, in milliseconds: the
     /// call in progress, the items that go before them, and a call of their own.
     pub fn expected_ms(&self, now: Millis, due: Millis, items: usize) -> Millis {
-        let own_call = self.sizes.stated_ms(items.min(self.sizes.max_items()));
+        let own_call = self.sizes.nominal_ms(items.min(self.sizes.max_items()));
         (self.lag * self.predicted_wait(now, due) + own_call) as Millis
     }
 
@@ -136,7 +136,7 @@
             .fill_ratio
             .map_or(max_items as f64, |it| it * max_items as f64)
             .max(1.0);
-        let full_ms = self.sizes.call_ms + self.sizes.piece_ms * full_items;
+        let full_ms = self.sizes.call_ms + self.sizes.item_ms * full_items;
         let usable = || {
             // A target that was only full or out of room keeps its capacity.
             let has_failed = move |it: &Target| it.failures != 0 && now < it.ejected_until;
@@ -144,13 +144,13 @@
                 move |it: &&Target| !it.is_closed && !has_failed(it) && it.backoff_until <= now;
             self.targets.values().filter(is_usable)
         };
-        let calls = f64::from(self.sizes.calls.max(1));
+        let calls = f64::from(self.sizes.max_calls.max(1));
         let slowness_of = |it: &Target| it.slowness_at(now).max(1.0);
         let per_ms =
             usable().map(|it| full_items * it.calls_per_ms(calls, full_ms * slowness_of(it))).sum();
         let slowness = usable().map(slowness_of).sum::<f64>() / usable().count().max(1) as f64;
         let confidence = self.call_stats.error_confidence(now);
-        let usual_call = self.sizes.stated_ms(max_items.div_ceil(2));
+        let usual_call = self.sizes.nominal_ms(max_items.div_ceil(2));
         StageLoad {
             per_ms,
             waiting,
@@ -165,12 +165,12 @@
 
     /// Predicted time until an item offered now completes, in milliseconds, without correction for
     /// past errors; `None` if it will be late.
-    pub(super) fn predict(&self, now: Millis, item: &Waiting) -> Option<f64> {
+    pub(super) fn predict(&self, now: Millis, item: &QueuedItem) -> Option<f64> {
         if self.is_late(now, item) {
             return None;
         }
         let ahead = self.ahead(now, item.due) as f64;
-        Some(self.load_with(now, ahead, 0.0).reckoned_ms(ahead))
+        Some(self.load_with(now, ahead, 0.0).modelled_ms(ahead))
     }
 
     /// Expected time until `items` more items with this due time complete, corrected by past
@@ -188,7 +188,12 @@
 
     /// Records the duration of an answered call; returns its predicted and actual time if any of
     /// its items had a prediction.
-    pub fn judge(&mut self, now: Millis, call: &Call, ms: Millis) -> Option<Judgement> {
+    pub fn record_duration(
+        &mut self,
+        now: Millis,
+        call: &Call,
+        ms: Millis,
+    ) -> Option<PredictionSample> {
         self.call_stats.record(now, call, ms)
     }
 
@@ -226,10 +231,10 @@
 
     /// When a refused request may retry, in milliseconds from now: once there is capacity for its
     /// items, and after the requests refused before it.
-    pub fn return_ms(&mut self, now: Millis, due: Millis, items: usize) -> Millis {
+    pub fn retry_after_ms(&mut self, now: Millis, due: Millis, items: usize) -> Millis {
         let excess = (now + self.expected_ms(now, due, items)).saturating_sub(due.max(now));
         let gap_ms = items as f64 * self.item_interval(now);
-        self.returns.take(now, excess, gap_ms)
+        self.returns.next_delay_ms(now, excess, gap_ms)
     }
 
     /// Mean time per item over all usable targets with full calls, in milliseconds.
@@ -237,7 +242,7 @@
         let usable =
             |it: &&Target| !it.is_closed && it.ejected_until <= now && it.backoff_until <= now;
         let max_items = self.sizes.max_items();
-        let full_ms = self.sizes.stated_ms(max_items);
+        let full_ms = self.sizes.nominal_ms(max_items);
         let calls_per_ms: f64 =
             self.targets.values().filter(usable).map(|it| it.calls_per_ms(1.0, full_ms)).sum();
         let calls_per_ms = if calls_per_ms == 0.0 { 1.0 / full_ms } else { calls_per_ms };
@@ -247,7 +252,7 @@
     /// Number of waiting items that go before one with this due time.
     fn ahead(&self, now: Millis, due: Millis) -> usize {
         let is_late = due < now + self.next_call_ms();
-        let is_ahead = |it: &&Waiting| match (self.is_late(now, it), is_late) {
+        let is_ahead = |it: &&QueuedItem| match (self.is_late(now, it), is_late) {
             (true, false) => false,
             (false, true) => true,
             _ => it.effective_due <= due,
@@ -258,7 +263,8 @@
     /// Predicted wait of one more item by the targets' nominal call times, in milliseconds.
     pub(super) fn predicted_wait(&self, now: Millis, due: Millis) -> f64 {
         let usable = |it: &&Target| !it.is_closed && it.is_open(now);
-        let is_free = self.targets.values().filter(usable).any(|it| it.calls < self.sizes.calls);
+        let is_free =
+            self.targets.values().filter(usable).any(|it| it.calls < self.sizes.max_calls);
         if is_free && self.waiting.is_empty() {
             return 0.0;
         }
@@ -266,7 +272,7 @@
     }
 
     /// Updates the ratio of actual to predicted waiting time from the items of a call.
-    pub(super) fn update_lag(&mut self, now: Millis, items: &[Waiting]) {
+    pub(super) fn update_lag(&mut self, now: Millis, items: &[QueuedItem]) {
         // Late items yield to others, so their wait says nothing about items on time.
         for item in items.iter().filter(|it| !self.sizes.is_late(now, it)) {
             let waited = now.saturating_sub(item.offered) as f64;
--- a/crates/holdpoint-core/src/batcher/mod.rs
+++ b/crates/holdpoint-core/src/batcher/mod.rs
@@ -22,11 +22,11 @@
     deadline::RecentRate,
     directory::TargetId,
     ids::Millis,
-    pieces::{Call, Sizes, Ticket, Waiting},
-    returns::Returns,
+    pieces::{Call, CallProfile, QueuedItem, Ticket},
+    returns::RetryTimes,
 };
 
-pub use self::estimate::Judgement;
+pub use self::estimate::PredictionSample;
 use self::{
     estimate::CallStats,
     targets::{StoredResult, Target},
@@ -35,8 +35,8 @@
 /// Queue of work items and state of the targets of one service.
 #[derive(Clone, Debug)]
 pub struct Batcher {
-    sizes: Sizes,
-    waiting: Vec<Waiting>,
+    sizes: CallProfile,
+    waiting: Vec<QueuedItem>,
     targets: BTreeMap<TargetId, Target>,
     /// Results that are stored at targets, by handle.
     results: HashMap<String, StoredResult>,
@@ -49,12 +49,12 @@
     /// Recent rate of offered items.
     offer_rate: RecentRate,
     /// Times at which refused requests may retry.
-    returns: Returns,
+    returns: RetryTimes,
 }
 
 impl Batcher {
     /// Creates a batcher without targets.
-    pub fn new(sizes: Sizes) -> Batcher {
+    pub fn new(sizes: CallProfile) -> Batcher {
         Batcher {
             sizes,
             waiting: Vec::new(),
@@ -64,17 +64,17 @@
             lag: 1.0,
             call_stats: CallStats::default(),
             offer_rate: RecentRate::default(),
-            returns: Returns::default(),
+            returns: RetryTimes::default(),
         }
     }
 
     /// Limits and nominal costs of the service's calls.
-    pub fn sizes(&self) -> &Sizes {
+    pub fn sizes(&self) -> &CallProfile {
         &self.sizes
     }
 
     /// Replaces the limits and nominal costs of the service's calls.
-    pub fn set_sizes(&mut self, sizes: Sizes) {
+    pub fn set_sizes(&mut self, sizes: CallProfile) {
         self.sizes = sizes;
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Adds an item to the queue.
-    pub fn offer(&mut self, now: Millis, item: Waiting) {
+    pub fn offer(&mut self, now: Millis, item: QueuedItem) {
         // Items of one group are offered together, so they share one prediction.
         let same = self.waiting.last().filter(|it| it.group == item.group && it.offered == now);
         let predicted = same.map(|it| (it.predicted_wait, it.predicted_ms));
@@ -118,7 +118,7 @@
             .unwrap_or_else(|| (self.predicted_wait(now, item.due), self.predict(now, &item)));
         self.offer_rate.count(now);
         let effective_due = self.effective_due(now, &item);
-        self.waiting.push(Waiting {
+        self.waiting.push(QueuedItem {
             offered: now,
             predicted_wait,
             predicted_ms,
@@ -128,12 +128,12 @@
     }
 
     /// Removes and returns all waiting items, for another instance to process.
-    pub fn hand_over(&mut self) -> Vec<Ticket> {
-        self.take_back(|_| true)
+    pub fn take_all(&mut self) -> Vec<Ticket> {
+        self.take_if(|_| true)
     }
 
     /// Removes and returns the waiting items for which `is_taken` is true.
-    pub fn take_back(&mut self, is_taken: impl Fn(&Waiting) -> bool) -> Vec<Ticket> {
+    pub fn take_if(&mut self, is_taken: impl Fn(&QueuedItem) -> bool) -> Vec<Ticket> {
         self.waiting.extract_if(.., |it| is_taken(it)).map(|it| it.ticket).collect()
     }
 
@@ -166,16 +166,16 @@
         let chosen = self.targets.get_mut(&target)?;
         chosen.calls += 1;
         chosen.used_bytes += items.iter().map(|it| it.bytes).sum::<u64>();
-        let call_ms = self.sizes.stated_ms(items.len()) * chosen.slowness_at(now).max(1.0);
+        let call_ms = self.sizes.nominal_ms(items.len()) * chosen.slowness_at(now).max(1.0);
         chosen.busy_until = now + call_ms as Millis;
         let used_bytes = chosen.used_bytes;
         let is_shared = now < chosen.shared_until;
         let (left, sizes) = (self.waiting.len(), self.sizes);
-        Some(Call { target, pieces: items, left, used_bytes, sizes, is_shared })
+        Some(Call { target, items: items, left, used_bytes, sizes, is_shared })
     }
 
     /// Removes the items at the given ascending indices from the queue, in one pass.
-    pub(super) fn take(&mut self, indices: &[usize]) -> Vec<Waiting> {
+    pub(super) fn take(&mut self, indices: &[usize]) -> Vec<QueuedItem> {
         let mut next = indices.iter().copied().peekable();
         let mut index = 0;
         let taken = self.waiting.extract_if(.., |_| {
--- a/crates/holdpoint-core/src/batcher/near.rs
+++ b/crates/holdpoint-core/src/batcher/near.rs
@@ -5,7 +5,7 @@
 //! shorter by more than the time of a full call. So equally loaded domains exchange few items, and a
 //! domain that lost its targets gets help.
 
-use crate::{ids::Millis, pieces::Sizes};
+use crate::{ids::Millis, pieces::CallProfile};
 
 /// Margin before the due time by which a target in the item's own domain must finish, in
 /// milliseconds; calls often end later than their nominal time.
@@ -56,7 +56,7 @@
     /// expected to be free, and from the preferred domains of the waiting items.
     pub(super) fn new(
         now: Millis,
-        sizes: &Sizes,
+        sizes: &CallProfile,
         targets: impl Iterator<Item = (&'a str, Millis)>,
         waiting: impl Iterator<Item = &'a str>,
     ) -> DomainQueues<'a> {
@@ -72,8 +72,8 @@
                 it.waiting += 1;
             }
         }
-        let full_ms = sizes.stated_ms(sizes.max_items());
-        let call_ms = sizes.stated_ms(1) as Millis;
+        let full_ms = sizes.nominal_ms(sizes.max_items());
+        let call_ms = sizes.nominal_ms(1) as Millis;
         DomainQueues { now, domains, item_ms: full_ms / sizes.max_items() as f64, full_ms, call_ms }
     }
 
--- a/crates/holdpoint-core/src/batcher/pack.rs
+++ b/crates/holdpoint-core/src/batcher/pack.rs
@@ -7,7 +7,7 @@
     near::{DomainItem, DomainQueues},
     targets::{SLOW_RATIO, Target},
 };
-use crate::{directory::TargetId, ids::Millis, pieces::Waiting};
+use crate::{directory::TargetId, ids::Millis, pieces::QueuedItem};
 
 /// Bytes to move between failure domains below which an item has no preferred one.
 const MIN_NEAR_BYTES: u64 = 200_000;
@@ -22,7 +22,8 @@
 impl Batcher {
     /// Whether more items wait than this fraction of what the targets' next calls can carry.
     pub(super) fn has_backlog(&self, fraction: f64) -> bool {
-        fraction * f64::from(self.sizes.pieces) * (self.usable() as f64) < self.waiting.len() as f64
+        fraction * f64::from(self.sizes.max_items) * (self.usable() as f64)
+            < self.waiting.len() as f64
     }
 
     /// The best call that can be made now: the indices of its items, and its target. Only the
@@ -62,7 +63,7 @@
     fn pack(&self, now: Millis, target: &Target, queues: &DomainQueues<'_>) -> Vec<usize> {
         let room = self.room(target);
         let indices = self.pack_into(now, target, room, queues);
-        let is_small = indices.len() * SMALL_CALL_DIVISOR < self.sizes.pieces as usize;
+        let is_small = indices.len() * SMALL_CALL_DIVISOR < self.sizes.max_items as usize;
         if is_small && self.has_backlog(BACKLOG_FRACTION) && !has_waited(now, target) {
             // Results are released within the time of a small call, and then more items fit.
             return Vec::new();
@@ -88,13 +89,13 @@
             let group_len = self.waiting[from..].iter().take_while(|it| it.group == group).count();
             let items = &self.waiting[from..from + group_len];
             let bytes: u64 = items.iter().map(|it| it.bytes).sum();
-            let end = now + self.sizes.stated_ms(indices.len() + group_len) as Millis;
+            let end = now + self.sizes.nominal_ms(indices.len() + group_len) as Millis;
             // A late item must not make the call too long for those on time.
             let fits = !items[0].is_late || earliest_due.is_none_or(|it| end <= it);
             let is_shared_call = !indices.is_empty();
             let mut is_eligible = fits && self.is_eligible(now, &items[0], target);
             // The target may crash on it, which would fail all other items of the call.
-            is_eligible &= !(items[0].is_alone && is_shared_call);
+            is_eligible &= !(items[0].is_isolated && is_shared_call);
             if let Some(domain) = preferred_domain(&items[0]) {
                 let ahead = passed.entry(domain).or_default();
                 let item = DomainItem { domain, due: items[0].effective_due, ahead: *ahead };
@@ -116,7 +117,7 @@
                     indices.push(from + index);
                 }
             }
-            if items[0].is_alone && !is_shared_call && !indices.is_empty() {
+            if items[0].is_isolated && !is_shared_call && !indices.is_empty() {
                 break;
             }
             from += group_len;
@@ -127,16 +128,16 @@
     /// Whether a group may be split because it needs at least half of a call or over half of the room.
     pub(super) fn may_split(&self, items: usize, bytes: u64) -> bool {
         let is_large = self.sizes.room_bytes != 0 && self.sizes.room_bytes < 2 * bytes;
-        self.sizes.pieces as usize <= 2 * items || is_large
+        self.sizes.max_items as usize <= 2 * items || is_large
     }
 
     /// Whether an item may go to a target, by its regions and the target's slowness.
-    fn is_eligible(&self, now: Millis, item: &Waiting, target: &Target) -> bool {
+    fn is_eligible(&self, now: Millis, item: &QueuedItem, target: &Target) -> bool {
         if !self.is_allowed(item, target) {
             return false;
         }
         // A slow target gets only items that it can finish on time, or that are late at any target.
-        let slow_ms = (self.sizes.stated_ms(1) * target.slowness) as Millis;
+        let slow_ms = (self.sizes.nominal_ms(1) * target.slowness) as Millis;
         target.slowness < SLOW_RATIO || self.sizes.is_late(now, item) || now + slow_ms <= item.due
     }
 
@@ -155,7 +156,7 @@
     /// When a target is expected to be free. An overdue call is expected to take as much longer as
     /// it is overdue already.
     fn free_at(&self, now: Millis, target: &Target) -> Millis {
-        if target.calls < self.sizes.calls.max(1) {
+        if target.calls < self.sizes.max_calls.max(1) {
             return now;
         }
         let overdue = now.saturating_sub(target.busy_until);
@@ -165,7 +166,8 @@
     /// Rank of a call: by the number of items, then by the bytes that need not move between failure
     /// domains, then by the speed of the target.
     fn score(&self, now: Millis, indices: &[usize], target: &Target) -> (usize, u64, i64) {
-        let is_near = |it: &&Waiting| MIN_NEAR_BYTES <= it.near_bytes && it.domain == target.domain;
+        let is_near =
+            |it: &&QueuedItem| MIN_NEAR_BYTES <= it.near_bytes && it.domain == target.domain;
         let items = indices.iter().map(|it| &self.waiting[*it]);
         let near_bytes = items.filter(is_near).map(|it| it.near_bytes).sum();
         (indices.len(), near_bytes, speed(now, target))
@@ -197,7 +199,7 @@
 
 /// Failure domain where an item should be processed; `None` if too few bytes would move, or its
 /// regions exclude that domain.
-fn preferred_domain(item: &Waiting) -> Option<&str> {
+fn preferred_domain(item: &QueuedItem) -> Option<&str> {
     let is_large = MIN_NEAR_BYTES <= item.near_bytes && !item.domain.is_empty();
     (is_large && item.is_allowed(&item.domain)).then_some(item.domain.as_str())
 }
--- a/crates/holdpoint-core/src/batcher/regions.rs
+++ b/crates/holdpoint-core/src/batcher/regions.rs
@@ -7,13 +7,13 @@
 use crate::{
     confinement::{Bounds, is_within},
     directory::TargetId,
-    pieces::{Ticket, Waiting},
+    pieces::{QueuedItem, Ticket},
 };
 
 impl Batcher {
     /// Marks closed targets as fallback: they get only confined items whose regions have no open
     /// target.
-    pub fn set_spare<'a>(&mut self, targets: impl Iterator<Item = &'a str>) {
+    pub fn set_fallback<'a>(&mut self, targets: impl Iterator<Item = &'a str>) {
         for id in targets {
             if let Some(it) = self.targets.get_mut(id) {
                 it.is_fallback = true;
@@ -22,19 +22,19 @@
     }
 
     /// Whether any target may process items with these bounds.
-    pub fn can_make(&self, within: Option<&Bounds>) -> bool {
+    pub fn can_process(&self, within: Option<&Bounds>) -> bool {
         let is_open = |it: &Target| !it.is_closed || (it.is_fallback && within.is_some());
         self.targets.values().any(|it| is_open(it) && is_within(within, &it.domain))
     }
 
     /// Removes and returns the confined items that no remaining target may process.
-    pub fn take_stranded(&mut self) -> Vec<Ticket> {
+    pub fn take_unplaceable(&mut self) -> Vec<Ticket> {
         if self.waiting.iter().all(|it| it.within.is_none()) {
             return Vec::new();
         }
         let available = self.targets.values().filter(|it| !it.is_closed || it.is_fallback);
         let domains: HashSet<&str> = available.map(|it| it.domain.as_str()).collect();
-        let is_stranded = |it: &Waiting| !domains.iter().any(|domain| it.is_allowed(domain));
+        let is_stranded = |it: &QueuedItem| !domains.iter().any(|domain| it.is_allowed(domain));
         self.waiting
             .extract_if(.., |it| it.within.is_some() && is_stranded(it))
             .map(|it| it.ticket)
@@ -42,7 +42,7 @@
     }
 
     /// Whether the regions of an item allow a target.
-    pub(super) fn is_allowed(&self, item: &Waiting, target: &Target) -> bool {
+    pub(super) fn is_allowed(&self, item: &QueuedItem, target: &Target) -> bool {
         if !target.is_closed {
             return item.is_allowed(&target.domain);
         }
--- a/crates/holdpoint-core/src/batcher/targets.rs
+++ b/crates/holdpoint-core/src/batcher/targets.rs
@@ -9,7 +9,7 @@
     directory::TargetId,
     ids::Millis,
     pieces::{Call, CallEnd},
-    told_pace::ToldPace,
+    told_pace::ReportedPace,
 };
 
 /// How long a target gets no calls after a failure, in milliseconds; doubled with each further
@@ -51,7 +51,7 @@
     /// Mean ratio of its call times to the nominal ones at its usual pace; 1 until measured.
     pub(super) slowness: f64,
     /// Its reported pace, relative to the usual one.
-    pub(super) pace: ToldPace,
+    pub(super) pace: ReportedPace,
     /// Room reserved by calls and used by results, in bytes.
     pub(super) used_bytes: u64,
     /// When its last call ended.
@@ -97,10 +97,10 @@
 impl Batcher {
     /// Records the end of a call. `results` has the handle of each item's result, in the order of
     /// the items; it is empty or all `None` if the call was not answered.
-    pub fn ended(&mut self, now: Millis, call: &Call, end: CallEnd, results: &[Option<&str>]) {
-        let nominal_ms = self.sizes.stated_ms(call.pieces.len());
+    pub fn record_end(&mut self, now: Millis, call: &Call, end: CallEnd, results: &[Option<&str>]) {
+        let nominal_ms = self.sizes.nominal_ms(call.items.len());
         let mut freed = 0;
-        for (index, item) in call.pieces.iter().enumerate() {
+        for (index, item) in call.items.iter().enumerate() {
             match results.get(index).copied().flatten() {
                 Some(handle) => {
                     let until = now + self.sizes.keep_ms;
@@ -122,8 +122,8 @@
                 target.failures = 0;
             }
             CallEnd::Full => target.ejected_until = now + FULL_EJECTION_MS,
-            CallEnd::Failed | CallEnd::Silent(_) => {
-                if let CallEnd::Silent(ms) = end {
+            CallEnd::Failed | CallEnd::TimedOut(_) => {
+                if let CallEnd::TimedOut(ms) = end {
                     // It may be slow rather than down: the next call gets a longer timeout.
                     let min_slowness = TIMEOUT_SLOWNESS * ms as f64 / nominal_ms.max(1.0);
                     target.slowness = target.slowness.max(min_slowness).min(MAX_SLOWNESS);
@@ -140,10 +140,10 @@
     /// instance has in progress, another instance calls the target too. Missing inputs do not count
     /// as such a sign: they are lost when a target crashes, and treating the target as shared would
     /// keep inputs stored until calls end, which fills the room of the targets that produced them.
-    pub fn told_load(&mut self, now: Millis, target: &str, load: Load, answered: u32) {
+    pub fn record_load(&mut self, now: Millis, target: &str, load: Load, answered: u32) {
         let Some(found) = self.targets.get_mut(target) else { return };
         if let Some(it) = load.pace_percent {
-            found.pace.told(now, it);
+            found.pace.record(now, it);
         }
         let calls = load.running + load.waiting;
         if found.calls.saturating_sub(answered) < calls {
@@ -175,7 +175,7 @@
     }
 
     /// Records that a target had no room for an item although its tracked usage left some.
-    pub fn no_room(&mut self, now: Millis, target: &str) {
+    pub fn record_no_room(&mut self, now: Millis, target: &str) {
         let Some(found) = self.targets.get_mut(target) else { return };
         found.ejected_until = found.ejected_until.max(now + FULL_EJECTION_MS);
         // The room is used by results of other instances' calls, which expire.
@@ -192,7 +192,7 @@
     }
 
     /// Records that a result was released at its target.
-    pub fn released(&mut self, handle: &str) {
+    pub fn record_released(&mut self, handle: &str) {
         let Some(stored) = self.results.remove(handle) else { return };
         if let Some(target) = self.targets.get_mut(&stored.target) {
             target.used_bytes = target.used_bytes.saturating_sub(stored.bytes);
@@ -204,21 +204,21 @@
             let Some(Reverse((until, handle))) = self.expiries.pop() else { return };
             // The same handle may have been stored again, with a later expiry.
             if self.results.get(&handle).is_some_and(|it| it.until == until) {
-                self.released(&handle);
+                self.record_released(&handle);
             }
         }
     }
 
     /// Timeout of a call with `items` items to a target, in milliseconds.
-    pub fn patience_ms(&self, now: Millis, target: &str, items: usize) -> Millis {
-        let nominal_ms = self.sizes.stated_ms(items);
+    pub fn timeout_ms(&self, now: Millis, target: &str, items: usize) -> Millis {
+        let nominal_ms = self.sizes.nominal_ms(items);
         let slowness = self.targets.get(target).map_or(1.0, |it| it.slowness_at(now).max(1.0));
         (nominal_ms * (1.0 + slowness) + 300.0) as Millis
     }
 
     /// Targets that can take a call now. Slow targets are skipped while the others keep up.
     pub(super) fn free_targets(&self, now: Millis) -> impl Iterator<Item = (&TargetId, &Target)> {
-        let calls = self.sizes.calls.max(1);
+        let calls = self.sizes.max_calls.max(1);
         let available = || self.targets.iter().filter(|it| !it.1.is_closed);
         let fastest = available()
             .filter(|it| it.1.ejected_until <= now)
--- a/crates/holdpoint-core/src/budget.rs
+++ b/crates/holdpoint-core/src/budget.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns the last resent call to the budget, since it reached no target.
-    pub fn take_back(&mut self) {
+    pub fn refund(&mut self) {
         self.resends.pop_back();
     }
 }
--- a/crates/holdpoint-core/src/choice.rs
+++ b/crates/holdpoint-core/src/choice.rs
@@ -16,9 +16,9 @@
     /// Failure domain.
     pub domain: String,
     /// Whether it is draining, by any drain notice.
-    pub leaving: bool,
+    pub is_draining: bool,
     /// Whether it gets no calls because its failure domain is evacuated. Its learned state is kept.
-    pub held: bool,
+    pub is_evacuated: bool,
 }
 
 /// Load as a target reports it.
@@ -109,11 +109,11 @@
 
 /// Outcome of a call at a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum CallOutcome {
     /// Complete response after this time, in milliseconds.
-    Whole(Millis),
+    Completed(Millis),
     /// Failure of the target.
     Failed,
     /// Cancelled here, through no fault of the target.
-    Dropped,
+    Cancelled,
 }
--- a/crates/holdpoint-core/src/claims.rs
+++ b/crates/holdpoint-core/src/claims.rs
@@ -36,7 +36,7 @@
 
 /// State of a key from the view of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ClaimStatus {
     /// No call holds it.
     Free,
     /// The call itself holds it; the offset is its fencing token.
@@ -130,20 +130,20 @@
     }
 
     /// State of `key` for `caller`, whose request body has the hash `body_hash`.
-    pub fn standing(&self, key: &ClaimKey, body_hash: &str, caller: &Claimant) -> Standing {
-        let Some(claim) = self.claims.get(&joined_key(key)) else { return Standing::Free };
+    pub fn status(&self, key: &ClaimKey, body_hash: &str, caller: &Claimant) -> ClaimStatus {
+        let Some(claim) = self.claims.get(&joined_key(key)) else { return ClaimStatus::Free };
         if claim.outcome == Outcome::Released {
-            return Standing::Free;
+            return ClaimStatus::Free;
         }
         if claim.body_hash != body_hash {
-            return Standing::Mismatch;
+            return ClaimStatus::Mismatch;
         }
         match &claim.outcome {
-            Outcome::Released => Standing::Free,
-            Outcome::Answer(it) => Standing::Done(it.clone()),
-            Outcome::Unknown => Standing::Unknown,
-            Outcome::Open if claim.claimant == *caller => Standing::Won(claim.offset),
-            Outcome::Open => Standing::Held(claim.claimant.clone()),
+            Outcome::Released => ClaimStatus::Free,
+            Outcome::Answer(it) => ClaimStatus::Done(it.clone()),
+            Outcome::Unknown => ClaimStatus::Unknown,
+            Outcome::Open if claim.claimant == *caller => ClaimStatus::Won(claim.offset),
+            Outcome::Open => ClaimStatus::Held(claim.claimant.clone()),
         }
     }
 
--- a/crates/holdpoint-core/src/cold.rs
+++ b/crates/holdpoint-core/src/cold.rs
@@ -22,7 +22,7 @@
     /// This instance decides for all.
     Whole,
     /// This many instances decide, each for itself.
-    Of(usize),
+    OneOf(usize),
 }
 
 impl Share {
@@ -30,20 +30,20 @@
     fn rate(self, per_s: f64) -> f64 {
         match self {
             Share::Whole => per_s * WHOLE_FRACTION,
-            Share::Of(instances) => per_s * SHARED_FRACTION / instances.max(1) as f64,
+            Share::OneOf(instances) => per_s * SHARED_FRACTION / instances.max(1) as f64,
         }
     }
 }
 
 /// Token bucket of one cold target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Credits {
+pub struct ColdBucket {
     until: Millis,
     tokens: f64,
     updated: Millis,
 }
 
-impl Credits {
+impl ColdBucket {
     /// Marks the target as cold until a time. `filled` is the initial level of the bucket, from 0 to 1.
     pub fn set_cold(&mut self, now: Millis, until: Millis, filled: f64) {
         if !self.is_cold(now) {
--- a/crates/holdpoint-core/src/deadline.rs
+++ b/crates/holdpoint-core/src/deadline.rs
@@ -145,11 +145,11 @@
 /// A caller that retries states the remainder of its timeout. First attempts differ too; the upper half of the
 /// timeouts is assumed to be first attempts, and their spread is assumed symmetric about the median.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct StatedTimeouts {
     times: Times,
 }
 
-impl Patience {
+impl StatedTimeouts {
     /// Records the timeout that a caller stated, in milliseconds.
     pub fn record(&mut self, now: Millis, ms: Millis) {
         self.times.record(now, ms);
@@ -157,7 +157,7 @@
 
     /// Estimated time since the first attempt of a caller that states the timeout `ms`, in milliseconds. It is 0
     /// with too few samples, or where the timeout is within the range of first attempts.
-    pub fn asked_before(&self, ms: Millis) -> Millis {
+    pub fn retry_elapsed(&self, ms: Millis) -> Millis {
         let quantile = |it| self.times.quantile(it).map(|it| it as f64);
         let Some((high, median)) = quantile(UPPER_QUANTILE).zip(quantile(0.5)) else { return 0 };
         // With few samples the quantiles are uncertain, so the range of first attempts is wider.
@@ -173,7 +173,7 @@
     /// The stage may use this much, in milliseconds.
     Use(Millis),
     /// The request cannot end in time: less remains than the stages ahead need.
-    Hopeless {
+    TooLate {
         /// Minimum time of the stages ahead, this one included, in milliseconds.
         need: Millis,
     },
@@ -187,7 +187,7 @@
     let after: Millis = later.iter().flatten().sum();
     let need = own.unwrap_or(0) + after;
     if remaining <= need {
-        return Budget::Hopeless { need };
+        return Budget::TooLate { need };
     }
     Budget::Use(remaining - after)
 }
--- a/crates/holdpoint-core/src/directory.rs
+++ b/crates/holdpoint-core/src/directory.rs
@@ -43,7 +43,8 @@
     /// Requests that it serves concurrently.
     pub slots: u32,
     /// Whether it reports that it is draining.
-    pub is_leaving: bool,
+    #[serde(rename = "is_leaving")]
+    pub is_draining: bool,
     /// Increases with each entry of this incarnation.
     pub sequence: u64,
     /// Remaining cold time, in milliseconds, if reported.
@@ -136,13 +137,13 @@
             _ => (),
         }
         let is_back = self.lapsed.remove(&entry.id).is_some();
-        let is_leaving = entry.is_leaving || self.has_drain_notice(&entry);
+        let is_leaving = entry.is_draining || self.has_drain_notice(&entry);
         // Peers of earlier versions report no start time.
         let born = entry.born.or(known.and_then(|it| it.born));
-        let entry = TargetInstance { is_leaving, born, ..entry };
+        let entry = TargetInstance { is_draining: is_leaving, born, ..entry };
         if known.is_some_and(|it| entry.sequence < it.sequence) {
             // The sender may have the drain notice from a response, along with an older entry.
-            return match entry.is_leaving {
+            return match entry.is_draining {
                 true => self.drain_entry(&entry.id, entry.born),
                 false => Change::Nothing,
             };
@@ -151,7 +152,7 @@
         let known = self.instances.get(&entry.id);
         let change = match known {
             None => Change::Joined,
-            Some(it) if is_leaving && !it.is_leaving => Change::Leaving,
+            Some(it) if is_leaving && !it.is_draining => Change::Leaving,
             Some(it) if is_same(it, &entry) && !is_back && !cold_changed => Change::Nothing,
             Some(_) => Change::Altered,
         };
@@ -172,7 +173,7 @@
     }
 
     /// Records a tombstone of an instance that is about to be removed, and evicts expired ones.
-    pub fn note_gone(&mut self, now: Millis, id: &str) {
+    pub fn add_tombstone(&mut self, now: Millis, id: &str) {
         let Some(it) = self.instances.get(id) else { return };
         let until = now + LOST_TAIL_MS;
         let tombstone = Tombstone { born: it.born, sequence: it.sequence, until };
@@ -235,7 +236,7 @@
     /// unavailable. It is kept until `until`; a draining one is removed at once.
     pub fn lapse(&mut self, id: &str, until: Millis) -> Change {
         self.mutate(id, |all| match all.instances.get(id) {
-            Some(it) if !it.is_leaving => {
+            Some(it) if !it.is_draining => {
                 all.lapsed.entry(id.to_owned()).or_insert(until);
                 Change::Nothing
             }
@@ -253,7 +254,7 @@
         let expired: Vec<TargetId> =
             self.lapsed.iter().filter(|it| *it.1 <= now).map(|it| it.0.clone()).collect();
         for id in &expired {
-            self.note_gone(now, id);
+            self.add_tombstone(now, id);
             self.remove(id);
         }
         expired
@@ -261,12 +262,12 @@
 
     /// Records a drain notice from a source other than the instance's own entry, for the incarnation that
     /// started at `born`. It stays valid if the entry has lapsed and is listed again.
-    pub fn leave(&mut self, id: &str, born: Option<Millis>) -> Change {
+    pub fn mark_draining(&mut self, id: &str, born: Option<Millis>) -> Change {
         self.mutate(id, |it| it.drain_entry(id, born))
     }
 
     fn drain_entry(&mut self, id: &str, born: Option<Millis>) -> Change {
-        if self.is_former_life(id, born) {
+        if self.is_former_incarnation(id, born) {
             return Change::Nothing;
         }
         let known = self.instances.get(id).and_then(|it| it.born);
@@ -274,8 +275,8 @@
         // None is less than any start time.
         *notice = (*notice).max(born).max(known);
         match self.instances.get_mut(id) {
-            Some(it) if !it.is_leaving => {
-                it.is_leaving = true;
+            Some(it) if !it.is_draining => {
+                it.is_draining = true;
                 Change::Leaving
             }
             _ => Change::Nothing,
@@ -283,7 +284,7 @@
     }
 
     /// Whether `born` is the start time of an incarnation that the target's id has since replaced.
-    pub fn is_former_life(&self, id: &str, born: Option<Millis>) -> bool {
+    pub fn is_former_incarnation(&self, id: &str, born: Option<Millis>) -> bool {
         let known = self.instances.get(id).and_then(|it| it.born);
         known.zip(born).is_some_and(|(known, born)| born < known)
     }
@@ -303,7 +304,7 @@
 
     /// Treats a target as cold for `ms` milliseconds even if its entries don't report it, or are older than the
     /// reason for it.
-    pub fn hold_cold(&mut self, now: Millis, id: &str, ms: Millis) {
+    pub fn assume_cold(&mut self, now: Millis, id: &str, ms: Millis) {
         if self.instances.contains_key(id) && 0 < ms {
             let cold = self.cold.entry(id.to_owned()).or_default();
             cold.assumed = cold.assumed.max(now + ms.min(MAX_COLD_MS));
@@ -327,7 +328,7 @@
 
     /// Replaces the contents by a complete list; instances that it does not name are removed.
     pub fn replace(&mut self, now: Millis, entries: Vec<TargetInstance>) {
-        for id in self.unnamed(&entries) {
+        for id in self.missing_from(&entries) {
             self.remove(&id);
         }
         for entry in entries {
@@ -336,7 +337,7 @@
     }
 
     /// Known ids that a complete list does not name.
-    pub fn unnamed(&self, entries: &[TargetInstance]) -> Vec<TargetId> {
+    pub fn missing_from(&self, entries: &[TargetInstance]) -> Vec<TargetId> {
         let named: HashSet<&str> = entries.iter().map(|it| it.id.as_str()).collect();
         self.instances.keys().filter(|it| !named.contains(it.as_str())).cloned().collect()
     }
@@ -393,8 +394,17 @@
 }
 
 fn hash_entry(entry: &TargetInstance, hasher: &mut Xxh3) {
-    let TargetInstance { id, service, address, domain, slots, is_leaving, version, born, .. } =
-        entry;
+    let TargetInstance {
+        id,
+        service,
+        address,
+        domain,
+        slots,
+        is_draining: is_leaving,
+        version,
+        born,
+        ..
+    } = entry;
     (id, service, address, domain, slots, is_leaving, version).hash(hasher);
     // Without a start time the hash equals that of earlier program versions.
     born.iter().for_each(|it| it.hash(hasher));
--- a/crates/holdpoint-core/src/era.rs
+++ b/crates/holdpoint-core/src/era.rs
@@ -19,13 +19,13 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Era(pub u64);
+pub struct Epoch(pub u64);
 
 /// A position in the log: an offset and its epoch, if known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
     /// Epoch of the offset.
-    pub era: Option<Era>,
+    pub epoch: Option<Epoch>,
     /// Number of records before it.
     pub offset: u64,
 }
@@ -33,34 +33,34 @@
 impl Position {
     /// Whether this position is later than another one.
     pub fn is_after(self, other: Position) -> bool {
-        match self.era.zip(other.era) {
+        match self.epoch.zip(other.epoch) {
             Some((mine, theirs)) if mine != theirs => theirs < mine,
             _ => other.offset < self.offset,
         }
     }
 
     /// Whether the store was restored between another position and this one.
-    pub fn is_of_later_era(self, other: Position) -> bool {
-        self.era.zip(other.era).is_some_and(|(mine, theirs)| theirs < mine)
+    pub fn is_of_later_epoch(self, other: Position) -> bool {
+        self.epoch.zip(other.epoch).is_some_and(|(mine, theirs)| theirs < mine)
     }
 }
 
 /// Epoch of a response compared with the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum EpochOrder {
     /// Both are the same, or one of them is unknown.
     Same,
     /// The store was restored: earlier reads no longer describe its contents.
-    Risen,
+    Newer,
     /// The response is from an earlier epoch.
-    Over,
+    Older,
 }
 
 /// Compares the epoch of a response with the known one.
-pub fn heard(known: Option<Era>, reported: Option<Era>) -> Heard {
+pub fn compare_epochs(known: Option<Epoch>, reported: Option<Epoch>) -> EpochOrder {
     match known.zip(reported) {
-        Some((known, reported)) if known < reported => Heard::Risen,
-        Some((known, reported)) if reported < known => Heard::Over,
-        _ => Heard::Same,
+        Some((known, reported)) if known < reported => EpochOrder::Newer,
+        Some((known, reported)) if reported < known => EpochOrder::Older,
+        _ => EpochOrder::Same,
     }
 }
--- a/crates/holdpoint-core/src/evacuation.rs
+++ b/crates/holdpoint-core/src/evacuation.rs
@@ -13,18 +13,18 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    era::{Era, Position, SETTLE_MS},
+    era::{Epoch, Position, SETTLE_MS},
     ids::{Millis, Name},
 };
 
 /// Offset in the log of orders: the number of records before it.
-pub type Horizon = u64;
+pub type LogOffset = u64;
 
 /// An order to evacuate or restore a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// Position of its record in the log.
-    pub offset: Horizon,
+    pub offset: LogOffset,
     /// Failure domain, which may be an unknown one.
     pub domain: Name,
     /// Whether the domain is to be evacuated; otherwise it is restored.
@@ -43,12 +43,12 @@
 /// The evacuated failure domains, as the state after a prefix of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    horizon: Horizon,
+    horizon: LogOffset,
     /// Epoch of the log; instances of earlier versions send none.
     #[serde(default, rename = "era")]
-    epoch: Option<Era>,
+    epoch: Option<Epoch>,
     /// Offset of the order by domain.
-    domains: BTreeMap<Name, Horizon>,
+    domains: BTreeMap<Name, LogOffset>,
     /// Domains that were evacuated in a previous epoch, and until when they stay so.
     #[serde(skip)]
     retained: BTreeMap<Name, Millis>,
@@ -63,12 +63,12 @@
     pub fn new(at: Position, orders: impl IntoIterator<Item = Order>) -> Evacuations {
         let evacuated = orders.into_iter().filter(|it| it.is_evacuated);
         let domains = evacuated.map(|it| (it.domain, it.offset)).collect();
-        Evacuations { horizon: at.offset, epoch: at.era, domains, ..Evacuations::default() }
+        Evacuations { horizon: at.offset, epoch: at.epoch, domains, ..Evacuations::default() }
     }
 
     /// Returns the state after all records before `horizon`, given the `orders` for domains among them.
     /// Orders before this state's horizon are skipped.
-    pub fn followed_by(&self, horizon: Horizon, orders: &[Order]) -> Evacuations {
+    pub fn followed_by(&self, horizon: LogOffset, orders: &[Order]) -> Evacuations {
         let mut next = self.clone();
         for order in orders.iter().filter(|it| self.horizon <= it.offset) {
             if order.is_evacuated {
@@ -88,7 +88,7 @@
         if !newer.position().is_after(self.position()) {
             return None;
         }
-        let is_later_epoch = newer.position().is_of_later_era(self.position());
+        let is_later_epoch = newer.position().is_of_later_epoch(self.position());
         let before = std::mem::replace(self, newer);
         if is_later_epoch {
             let kept = before.domains().map(|it| (it.clone(), now + SETTLE_MS));
@@ -102,7 +102,7 @@
 
     /// Restores the domains retained from a previous epoch whose time is over, unless they have been
     /// evacuated again. Returns the domains that have changed.
-    pub fn settle(&mut self, now: Millis) -> Vec<DomainChange> {
+    pub fn restore_expired(&mut self, now: Millis) -> Vec<DomainChange> {
         if self.retained.values().all(|it| now < *it) {
             return Vec::new();
         }
@@ -124,11 +124,11 @@
 
     /// Position up to which the log is known, with its epoch.
     pub fn position(&self) -> Position {
-        Position { era: self.epoch, offset: self.horizon }
+        Position { epoch: self.epoch, offset: self.horizon }
     }
 
     /// Offset up to which the log is known.
-    pub fn horizon(&self) -> Horizon {
+    pub fn horizon(&self) -> LogOffset {
         self.horizon
     }
 
--- a/crates/holdpoint-core/src/fold.rs
+++ b/crates/holdpoint-core/src/fold.rs
@@ -37,7 +37,8 @@
     /// Offset of the change's first record.
     pub offset: Offset,
     /// Whether it was applied, since it was based on the version then active.
-    pub won: bool,
+    #[serde(rename = "won")]
+    pub is_applied: bool,
     /// Version that is active after it: its own, or the one that it conflicts with.
     pub version: Offset,
 }
@@ -166,7 +167,7 @@
         let current = self.resource(&change.kind, &change.name).map_or(0, |it| it.version);
         let won = current == change.base;
         let version = if won { offset } else { current };
-        self.changes.insert(change.change.clone(), Verdict { offset, won, version });
+        self.changes.insert(change.change.clone(), Verdict { offset, is_applied: won, version });
         self.change_times.push_back((at, change.change.clone()));
         if !won {
             return Effect::Conflict;
--- a/crates/holdpoint-core/src/ingress.rs
+++ b/crates/holdpoint-core/src/ingress.rs
@@ -25,7 +25,7 @@
 
 /// Form of the responses of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum ResponseKind {
     /// A single body.
     Whole,
     /// A stream of events.
@@ -62,11 +62,13 @@
     /// How often a request may be executed.
     pub repeat: Repeat,
     /// Form of its responses.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub response: ResponseKind,
     /// Longest time that a request may take, in milliseconds.
     pub timeout_ms: u64,
     /// Latency up to which a response has its full value, in milliseconds.
-    pub target_ms: u64,
+    #[serde(rename = "target_ms")]
+    pub objective_ms: u64,
     /// Priority rank; 0 is served first.
     pub rank: u32,
     /// Largest number of targets that one request may be sent to.
@@ -98,11 +100,13 @@
     /// Calls that may be queued.
     pub queue: u32,
     /// Largest number of items in one call.
-    pub pieces: u32,
+    #[serde(rename = "pieces")]
+    pub items: u32,
     /// Fixed time of a call, without its items, in milliseconds.
     pub call_ms: f64,
     /// Additional time for each item, in milliseconds.
-    pub piece_ms: f64,
+    #[serde(rename = "piece_ms")]
+    pub item_ms: f64,
     /// Storage for results, in bytes.
     pub room_bytes: u64,
     /// How long a result is kept, in milliseconds.
@@ -139,7 +143,7 @@
 impl Service {
     /// Idle connections to one target that each of `instances` instances may keep, so that all together don't
     /// exceed the limit of the target.
-    pub fn at_rest(&self, instances: usize) -> usize {
+    pub fn idle_connections(&self, instances: usize) -> usize {
         (self.max_connections as usize / instances.max(1)).min(MAX_IDLE_CONNECTIONS)
     }
 }
@@ -307,6 +311,6 @@
 }
 
 /// Whether version `found` may replace the active version: it must be a later one.
-pub fn newer(active: Version, found: Version) -> bool {
+pub fn is_newer(active: Version, found: Version) -> bool {
     active < found
 }
--- a/crates/holdpoint-core/src/ledger.rs
+++ b/crates/holdpoint-core/src/ledger.rs
@@ -18,7 +18,7 @@
 /// A call that may have been sent. It stays counted when dropped.
 #[derive(Debug)]
 #[must_use]
-pub struct Begun<'a> {
+pub struct CallGuard<'a> {
     ledger: &'a Ledger,
 }
 
@@ -37,10 +37,10 @@
     }
 
     /// Counts a call as sent. Returns `None` if the ledger is closed; the call must not be sent then.
-    pub fn begin(&self) -> Option<Begun<'_>> {
+    pub fn begin(&self) -> Option<CallGuard<'_>> {
         let add = |state: u64| (state & CLOSED_BIT == 0).then_some(state + 1);
         self.state.fetch_update(Ordering::AcqRel, Ordering::Acquire, add).ok()?;
-        Some(Begun { ledger: self })
+        Some(CallGuard { ledger: self })
     }
 
     /// Closes the ledger for good; returns the proof if no call was sent.
@@ -50,7 +50,7 @@
     }
 }
 
-impl Begun<'_> {
+impl CallGuard<'_> {
     /// Uncounts the call, whose connection was never made, so that no byte of it was sent.
     pub fn never_sent(self) {
         self.ledger.state.fetch_sub(1, Ordering::AcqRel);
--- a/crates/holdpoint-core/src/liveness.rs
+++ b/crates/holdpoint-core/src/liveness.rs
@@ -15,38 +15,40 @@
 
 /// How this instance uses a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Use {
+pub struct PeerUse {
     /// Calls in flight to it.
     pub calls: usize,
     /// Time of its last use, in milliseconds.
-    pub used: Millis,
+    pub last_use: Millis,
     /// Whether it is needed even without calls, as between service owners, which report their load to each
     /// other.
-    pub is_standing: bool,
+    pub is_permanent: bool,
 }
 
 /// What to do with the connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub enum PeerAction {
     /// Probe it.
-    Ask,
+    Probe,
     /// Keep it without probes.
-    Rest,
+    Wait,
     /// Close it.
     Close,
 }
 
 /// Decides what to do with the connection to a peer.
-pub fn duty(now: Millis, peer: Use) -> Duty {
-    let idle_ms = now.saturating_sub(peer.used);
+pub fn peer_action(now: Millis, peer: PeerUse) -> PeerAction {
+    let idle_ms = now.saturating_sub(peer.last_use);
     match () {
-        () if peer.is_standing || peer.calls != 0 || idle_ms <= PROBE_LINGER_MS => Duty::Ask,
-        () if idle_ms < CONNECTION_KEEP_MS => Duty::Rest,
-        () => Duty::Close,
+        () if peer.is_permanent || peer.calls != 0 || idle_ms <= PROBE_LINGER_MS => {
+            PeerAction::Probe
+        }
+        () if idle_ms < CONNECTION_KEEP_MS => PeerAction::Wait,
+        () => PeerAction::Close,
     }
 }
 
 /// Whether a peer that was last used at `used` has been idle for so long that its probes stopped.
-pub fn has_rested(now: Millis, used: Millis) -> bool {
+pub fn was_idle(now: Millis, used: Millis) -> bool {
     PROBE_LINGER_MS < now.saturating_sub(used)
 }
--- a/crates/holdpoint-core/src/membership.rs
+++ b/crates/holdpoint-core/src/membership.rs
@@ -202,7 +202,7 @@
         }
         digest.members.iter().for_each(|it| self.merge_member(it, &digest.from, now));
         self.merge_acks(&digest.acks, &digest.from, now);
-        digest.leaving.iter().for_each(|it| self.set_leaving(&it.address, &it.incarnation, now));
+        digest.leaving.iter().for_each(|it| self.set_draining(&it.address, &it.incarnation, now));
         before != self.version
     }
 
@@ -217,8 +217,8 @@
     }
 
     /// Records a drain notice, which stays valid for the target's incarnation.
-    pub fn set_leaving(&mut self, address: &str, incarnation: &str, now: Millis) {
-        if self.is_leaving(address, incarnation) {
+    pub fn set_draining(&mut self, address: &str, incarnation: &str, now: Millis) {
+        if self.is_draining(address, incarnation) {
             return;
         }
         self.version += 1;
@@ -228,17 +228,17 @@
     }
 
     /// Whether this incarnation of a target is draining.
-    pub fn is_leaving(&self, address: &str, incarnation: &str) -> bool {
+    pub fn is_draining(&self, address: &str, incarnation: &str) -> bool {
         self.draining.get(address).is_some_and(|it| it.incarnation == incarnation)
     }
 
     /// Incarnation of the latest drain notice for an address.
-    pub fn leaving_at(&self, address: &str) -> Option<&str> {
+    pub fn draining_at(&self, address: &str) -> Option<&str> {
         self.draining.get(address).map(|it| it.incarnation.as_str())
     }
 
     /// Draining targets: address and incarnation.
-    pub fn leaving(&self) -> impl Iterator<Item = (&str, &str)> {
+    pub fn draining(&self) -> impl Iterator<Item = (&str, &str)> {
         self.draining.iter().map(|it| (it.0.as_str(), it.1.incarnation.as_str()))
     }
 
@@ -268,7 +268,7 @@
     /// Declares members stopped that have been silent for `dead_ms` milliseconds, that the platform
     /// does not list, and whose peer address is among `watched` (those this instance talks to). Evicts
     /// expired entries.
-    pub fn bury(&mut self, now: Millis, dead_ms: Millis, watched: &[String]) {
+    pub fn stop_silent(&mut self, now: Millis, dead_ms: Millis, watched: &[String]) {
         let me = self.me.clone();
         let mut version = self.version;
         for (incarnation, known) in &mut self.members {
--- a/crates/holdpoint-core/src/notice.rs
+++ b/crates/holdpoint-core/src/notice.rs
@@ -4,9 +4,9 @@
 
 /// A target's report about itself in an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Notice {
+pub struct TargetStatus {
     /// Whether the target is draining.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Backoff that it requests from the sender.
     pub backoff: Backoff,
     /// Limit on the rate of requests from all instances together.
--- a/crates/holdpoint-core/src/pieces.rs
+++ b/crates/holdpoint-core/src/pieces.rs
@@ -11,7 +11,7 @@
 
 /// A work item in the queue of a batcher.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Waiting {
+pub struct QueuedItem {
     /// Ticket.
     pub ticket: Ticket,
     /// Group of items that are needed together: their results are of no use, and only take room,
@@ -38,7 +38,7 @@
     /// Bounds for its target, if its request is confined to regions.
     pub within: Within,
     /// Whether it must not share a call with items of other requests.
-    pub is_alone: bool,
+    pub is_isolated: bool,
     /// When it was offered; set by the batcher.
     pub offered: Millis,
     /// Wait predicted at that time, in milliseconds; set by the batcher.
@@ -52,7 +52,7 @@
     pub effective_due: Millis,
 }
 
-impl Waiting {
+impl QueuedItem {
     /// Whether it may be processed in a failure domain.
     pub(crate) fn is_allowed(&self, domain: &str) -> bool {
         is_within(self.within.as_deref(), domain)
@@ -65,13 +65,13 @@
     /// Target to call.
     pub target: TargetId,
     /// Items of the call.
-    pub pieces: Vec<Waiting>,
+    pub items: Vec<QueuedItem>,
     /// Number of items left in the queue.
     pub left: usize,
     /// Room reserved and used at the target, including these items, in bytes.
     pub used_bytes: u64,
     /// Limits and nominal costs that applied when the call was planned.
-    pub sizes: Sizes,
+    pub sizes: CallProfile,
     /// Whether other instances recently called the target too, so that the call may queue there.
     pub is_shared: bool,
 }
@@ -93,39 +93,39 @@
     /// The target failed.
     Failed,
     /// The target did not answer within this time, in milliseconds.
-    Silent(Millis),
+    TimedOut(Millis),
 }
 
 /// Limits and nominal costs of a service's calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sizes {
+pub struct CallProfile {
     /// Maximum number of concurrent calls to one target.
-    pub calls: u32,
+    pub max_calls: u32,
     /// Maximum number of items in one call.
-    pub pieces: u32,
+    pub max_items: u32,
     /// Fixed time of a call, in milliseconds.
     pub call_ms: f64,
     /// Additional time of each item, in milliseconds.
-    pub piece_ms: f64,
+    pub item_ms: f64,
     /// Room for results at one target, in bytes; 0 if unlimited.
     pub room_bytes: u64,
     /// How long a target stores a result, in milliseconds.
     pub keep_ms: Millis,
 }
 
-impl Sizes {
+impl CallProfile {
     /// Maximum number of items in one call, at least 1.
     pub(crate) fn max_items(&self) -> usize {
-        self.pieces.max(1) as usize
+        self.max_items.max(1) as usize
     }
 
     /// Whether an item would be late even if a call of its own started now.
-    pub(crate) fn is_late(&self, now: Millis, item: &Waiting) -> bool {
-        item.due < now + self.stated_ms(1) as Millis
+    pub(crate) fn is_late(&self, now: Millis, item: &QueuedItem) -> bool {
+        item.due < now + self.nominal_ms(1) as Millis
     }
 
     /// Nominal time of a call with `items` items, in milliseconds.
-    pub fn stated_ms(&self, items: usize) -> f64 {
-        self.call_ms + self.piece_ms * items as f64
+    pub fn nominal_ms(&self, items: usize) -> f64 {
+        self.call_ms + self.item_ms * items as f64
     }
 }
--- a/crates/holdpoint-core/src/promises.rs
+++ b/crates/holdpoint-core/src/promises.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     ids::{Millis, Name},
-    returns::Returns,
+    returns::RetryTimes,
 };
 
 /// Maximum age of a load report, in milliseconds. A report comes every 250 ms, and two may be lost. Without a
@@ -80,11 +80,11 @@
 
     /// Expected time of an item with `ahead` items waiting before it, in milliseconds.
     pub fn expected_ms(&self, ahead: f64) -> f64 {
-        (self.reckoned_ms(ahead) + self.bias_ms).clamp(0.0, MAX_STAGE_MS)
+        (self.modelled_ms(ahead) + self.bias_ms).clamp(0.0, MAX_STAGE_MS)
     }
 
     /// The same from throughput and call times alone, without `bias_ms`.
-    pub fn reckoned_ms(&self, ahead: f64) -> f64 {
+    pub fn modelled_ms(&self, ahead: f64) -> f64 {
         let fullness = (ahead / self.most.max(1.0)).min(1.0);
         let call = self.call_ms + fullness * (self.full_ms - self.call_ms).max(0.0);
         (ahead / self.per_ms + call).clamp(0.0, MAX_STAGE_MS)
@@ -93,11 +93,12 @@
 
 /// A later stage of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StageAhead {
+pub struct LaterStage {
     /// Service of the stage.
     pub service: Name,
     /// Number of work items.
-    pub pieces: u32,
+    #[serde(rename = "pieces")]
+    pub items: u32,
     /// Number of the request's stages before it, including the current one.
     pub depth: u32,
     /// Usual time of the stage, used without a recent load report, in milliseconds.
@@ -106,7 +107,7 @@
 
 /// Estimated times of a request's stages.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Expected {
+pub struct ChainEstimate {
     /// Time until the last stage ends, in milliseconds.
     pub ms: f64,
     /// Expected error of `ms`, in milliseconds.
@@ -141,20 +142,20 @@
     recent_rate: AdmittedRate,
     long_rate: AdmittedRate,
     /// Retry times of the requests refused because of this service.
-    returns: Returns,
+    returns: RetryTimes,
 }
 
 /// Predicted queues of the later stages of requests admitted here.
 #[derive(Clone, Debug, Default)]
-pub struct Promises {
+pub struct AdmittedWork {
     queues: HashMap<Name, ServiceQueue>,
 }
 
-impl Promises {
+impl AdmittedWork {
     /// Applies a load report of a service. Returns `false` if it is invalid, or new and too many services are
     /// tracked. A service without throughput is not tracked: its stages are assumed to take their usual time,
     /// since a target may be available again by then.
-    pub fn told(&mut self, now: Millis, service: &str, load: StageLoad) -> bool {
+    pub fn apply_report(&mut self, now: Millis, service: &str, load: StageLoad) -> bool {
         let is_new = !self.queues.contains_key(service);
         if !load.is_valid() || (is_new && MAX_SERVICES <= self.queues.len()) {
             return false;
@@ -169,9 +170,9 @@
     }
 
     /// Estimates the later stages of a request whose current stage takes `own_ms`.
-    pub fn expect(&self, now: Millis, own_ms: f64, ahead: &[StageAhead]) -> Expected {
+    pub fn estimate(&self, now: Millis, own_ms: f64, ahead: &[LaterStage]) -> ChainEstimate {
         let mut expected =
-            Expected { ms: own_ms, spare: 1.0, long_spare: 1.0, ..Expected::default() };
+            ChainEstimate { ms: own_ms, spare: 1.0, long_spare: 1.0, ..ChainEstimate::default() };
         expected.arrivals = vec![own_ms; ahead.len()];
         let mut variance = 0.0;
         let deepest = ahead.iter().map(|it| it.depth).max().unwrap_or(0);
@@ -186,7 +187,7 @@
                     continue;
                 };
                 let waiting = queue.waiting_at(now + arrival as Millis);
-                let ms = queue.load.expected_ms(waiting + f64::from(stage.pieces) / 2.0);
+                let ms = queue.load.expected_ms(waiting + f64::from(stage.items) / 2.0);
                 expected.ms = expected.ms.max(arrival + ms);
                 expected.add_stage(stage, queue, now, waiting);
                 variance += queue.load.spread_ms.powi(2);
@@ -197,16 +198,16 @@
     }
 
     /// Records the later stages of an admitted request, at the arrivals of `expected`.
-    pub fn promise(
+    pub fn record(
         &mut self,
         now: Millis,
-        ahead: &[StageAhead],
-        expected: &Expected,
+        ahead: &[LaterStage],
+        expected: &ChainEstimate,
         is_late: bool,
     ) {
         for (stage, arrival) in ahead.iter().zip(&expected.arrivals) {
             let Some(queue) = self.queues.get_mut(&stage.service) else { continue };
-            let items = f64::from(stage.pieces);
+            let items = f64::from(stage.items);
             if is_late {
                 queue.late += items;
                 continue;
@@ -220,9 +221,15 @@
 
     /// Retry delay of a request refused because of a service's queue, in milliseconds: at least `excess`, and
     /// after the requests refused before it, at the service's throughput.
-    pub fn return_ms(&mut self, now: Millis, service: &str, excess: Millis, items: u32) -> Millis {
+    pub fn retry_after_ms(
+        &mut self,
+        now: Millis,
+        service: &str,
+        excess: Millis,
+        items: u32,
+    ) -> Millis {
         let Some(queue) = self.queues.get_mut(service) else { return excess };
-        queue.returns.take(now, excess, f64::from(items) / queue.load.per_ms)
+        queue.returns.next_delay_ms(now, excess, f64::from(items) / queue.load.per_ms)
     }
 
     /// Items admitted for a service that no load report covers yet, in time and late ones together.
@@ -235,8 +242,8 @@
     }
 }
 
-impl Expected {
-    fn add_stage(&mut self, stage: &StageAhead, queue: &ServiceQueue, now: Millis, waiting: f64) {
+impl ChainEstimate {
+    fn add_stage(&mut self, stage: &LaterStage, queue: &ServiceQueue, now: Millis, waiting: f64) {
         let per_ms = queue.load.per_ms;
         let wait = waiting / per_ms;
         if self.longest_wait.as_ref().is_none_or(|it| it.1 < wait) {
--- a/crates/holdpoint-core/src/quarantine.rs
+++ b/crates/holdpoint-core/src/quarantine.rs
@@ -21,14 +21,14 @@
 /// Prefix of the keys of quarantined requests in the store; the fingerprint follows.
 pub const KEY_PREFIX: &str = "quarantine/";
 /// Number of crashes after which a request is quarantined. Innocent requests may meet one or two by chance.
-pub const ENDS: usize = 3;
+pub const QUARANTINE_CRASHES: usize = 3;
 /// Number of crashes from which on all instances report a request's success.
 const WATCH_CRASHES: usize = 2;
 /// Maximum number of crashes kept for one request.
 const MAX_CRASHES: usize = 64;
 /// How long a request is quarantined, in milliseconds: longer than callers retry, and long enough for
 /// operators to react.
-pub const HOLD_MS: Millis = 600_000;
+pub const QUARANTINE_MS: Millis = 600_000;
 /// How long the crashes under a request count after the last of them, in milliseconds.
 const SUSPECT_RETENTION_MS: Millis = 600_000;
 /// Maximum number of suspects: about 2 MB with two crashes each.
@@ -74,7 +74,7 @@
 
 /// One incarnation of a target: its id and its start time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// Target.
     pub target: TargetId,
     /// Start time that the target reports, in milliseconds of Unix time; 0 if it reports none.
@@ -83,19 +83,20 @@
 
 /// A crash of a target while it ran a request, seen by the caller as a broken connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedRun {
+pub struct CrashedRun {
     /// Request.
     pub fingerprint: Fingerprint,
     /// Service of the target.
     pub service: Name,
     /// Incarnation of the target that crashed.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
 }
 
 /// A request under which targets have crashed.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    crashes: Vec<EndedRun>,
+    crashes: Vec<CrashedRun>,
     last_seen: Millis,
     /// Whether all instances have been asked to report its success.
     is_watched: bool,
@@ -106,16 +107,16 @@
 struct QuarantineEntry {
     until: Millis,
     /// Crashes under it; none if another instance quarantined it.
-    crashes: Vec<EndedRun>,
+    crashes: Vec<CrashedRun>,
 }
 
 /// Effect of a request's success on the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passed {
+pub enum SuccessEffect {
     /// No effect.
     Nothing,
     /// The instance that judges its crashes has to be informed.
-    News,
+    Report,
     /// The request has been released from quarantine.
     Released,
 }
@@ -145,7 +146,7 @@
 
 impl Quarantine {
     /// Records a crash of a target under a request. Returns whether it is a new one.
-    pub fn ended(&mut self, now: Millis, run: EndedRun) -> bool {
+    pub fn record_crash(&mut self, now: Millis, run: CrashedRun) -> bool {
         if let Some(it) = self.quarantined.get_mut(&run.fingerprint) {
             return add_crash(&mut it.crashes, run);
         }
@@ -160,21 +161,23 @@
 
     /// Records that a request succeeded at a service. Crashes at other services still count: a request that
     /// crashes one stage's targets may pass all other stages.
-    pub fn passed(&mut self, fingerprint: Fingerprint, service: &str) -> Passed {
+    pub fn record_success(&mut self, fingerprint: Fingerprint, service: &str) -> SuccessEffect {
         if let Some(it) = self.quarantined.get(&fingerprint) {
             return match it.crashes.iter().any(|it| it.service == service) {
                 // It only ran beside the request that crashed its targets.
                 true => {
                     self.quarantined.remove(&fingerprint);
-                    Passed::Released
+                    SuccessEffect::Released
                 }
-                false if it.crashes.is_empty() => Passed::News,
-                false => Passed::Nothing,
+                false if it.crashes.is_empty() => SuccessEffect::Report,
+                false => SuccessEffect::Nothing,
             };
         }
-        let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return Passed::Nothing };
+        let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
+            return SuccessEffect::Nothing;
+        };
         if suspect.crashes.is_empty() {
-            return Passed::News;
+            return SuccessEffect::Report;
         }
         let before = suspect.crashes.len();
         suspect.crashes.retain(|it| it.service != service);
@@ -182,26 +185,27 @@
         if after == 0 {
             self.suspects.remove(&fingerprint);
         }
-        if after == before { Passed::Nothing } else { Passed::News }
+        if after == before { SuccessEffect::Nothing } else { SuccessEffect::Report }
     }
 
     /// Returns new decisions: requests to quarantine, which takes effect here at once, and to watch.
     pub fn judge(&mut self, now: Millis) -> Vec<Verdict> {
         let known_crashes = self.quarantined.values().flat_map(|it| &it.crashes);
-        let explained: HashSet<&Life> = known_crashes.map(|it| &it.life).collect();
+        let explained: HashSet<&Incarnation> = known_crashes.map(|it| &it.incarnation).collect();
         let is_over_limit = |it: &Suspect| {
-            ENDS <= it.crashes.len() && it.crashes.iter().any(|it| !explained.contains(&it.life))
+            QUARANTINE_CRASHES <= it.crashes.len()
+                && it.crashes.iter().any(|it| !explained.contains(&it.incarnation))
         };
         let culprits = self.suspects.iter().filter(|it| is_over_limit(it.1)).map(|it| *it.0);
         let culprits: Vec<Fingerprint> = culprits.collect();
         let mut verdicts = Vec::new();
         for fingerprint in culprits {
             let crashes = self.suspects.remove(&fingerprint).unwrap_or_default().crashes;
-            self.quarantine(now, fingerprint, HOLD_MS);
+            self.quarantine(now, fingerprint, QUARANTINE_MS);
             if let Some(it) = self.quarantined.get_mut(&fingerprint) {
                 it.crashes = crashes;
             }
-            verdicts.push(Verdict::Hold(fingerprint, HOLD_MS));
+            verdicts.push(Verdict::Hold(fingerprint, QUARANTINE_MS));
         }
         for (fingerprint, suspect) in &mut self.suspects {
             if WATCH_CRASHES <= suspect.crashes.len() && !suspect.is_watched {
@@ -213,7 +217,7 @@
     }
 
     /// Applies a decision of another instance. Returns whether it was not known before.
-    pub fn told(&mut self, now: Millis, verdict: Verdict) -> bool {
+    pub fn apply_verdict(&mut self, now: Millis, verdict: Verdict) -> bool {
         match verdict {
             Verdict::Hold(it, ms) => self.quarantine(now, it, ms),
             Verdict::Release(it) => {
@@ -232,7 +236,7 @@
     /// Quarantines a request for `ms` milliseconds. Returns whether it was not quarantined before.
     fn quarantine(&mut self, now: Millis, fingerprint: Fingerprint, ms: Millis) -> bool {
         self.quarantined.retain(|_, it| now < it.until);
-        let until = now + ms.min(HOLD_MS);
+        let until = now + ms.min(QUARANTINE_MS);
         if let Some(it) = self.quarantined.get_mut(&fingerprint) {
             it.until = it.until.max(until);
             return false;
@@ -248,7 +252,7 @@
     }
 
     /// Remaining quarantine of a request in milliseconds; `None` if it is not quarantined.
-    pub fn held_ms(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
+    pub fn remaining_ms(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
         let until = self.quarantined.get(&fingerprint)?.until;
         (now < until).then(|| until - now)
     }
@@ -271,13 +275,13 @@
     }
 
     /// Crashes at a service under requests that are not quarantined.
-    pub fn ends_at<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a EndedRun> {
+    pub fn crashes_at<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a CrashedRun> {
         let crashes = self.suspects.values().flat_map(|it| &it.crashes);
         crashes.filter(move |it| it.service == service)
     }
 
     /// Removes expired entries. While any entry remains, each incoming request has to be hashed.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn remove_expired(&mut self, now: Millis) {
         self.suspects.retain(|_, it| now < it.last_seen + SUSPECT_RETENTION_MS);
         self.quarantined.retain(|_, it| now < it.until);
     }
@@ -287,7 +291,7 @@
         if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        self.forget(now);
+        self.remove_expired(now);
         let mut oldest: Vec<_> = self.suspects.iter().map(|(it, of)| (of.last_seen, *it)).collect();
         oldest.sort_unstable();
         for (_, it) in oldest.into_iter().take(self.suspects.len().saturating_sub(MAX_SUSPECTS / 2))
@@ -298,8 +302,9 @@
 }
 
 /// Adds a crash unless one of the same incarnation is known. Returns whether it was added.
-fn add_crash(crashes: &mut Vec<EndedRun>, run: EndedRun) -> bool {
-    let is_new = crashes.len() < MAX_CRASHES && crashes.iter().all(|it| it.life != run.life);
+fn add_crash(crashes: &mut Vec<CrashedRun>, run: CrashedRun) -> bool {
+    let is_new =
+        crashes.len() < MAX_CRASHES && crashes.iter().all(|it| it.incarnation != run.incarnation);
     if is_new {
         crashes.push(run);
     }
--- a/crates/holdpoint-core/src/readers.rs
+++ b/crates/holdpoint-core/src/readers.rs
@@ -71,12 +71,12 @@
     /// Its role.
     pub role: Role,
     /// Instances that it follows, in the order in which it asks them.
-    pub asked: Vec<&'a str>,
+    pub upstreams: Vec<&'a str>,
     /// Instances that read the store, in the order in which it asks them.
     pub readers: Vec<&'a str>,
     /// How long it waits, in milliseconds, before it reads the store itself because none of the instances that
     /// it follows has read it.
-    pub patience_ms: Millis,
+    pub read_delay_ms: Millis,
 }
 
 /// Members that may be selected as readers, relays or owners of shared work: the only ones that a starting
@@ -128,7 +128,7 @@
         }
     };
     let patience_ms = if role == Role::Follower { read_delay(own, near.len()) } else { 0 };
-    Plan { role, asked, readers, patience_ms }
+    Plan { role, upstreams: asked, readers, read_delay_ms: patience_ms }
 }
 
 /// Regions about as near to the store as the nearest one. A region without a measurement counts as near.
--- a/crates/holdpoint-core/src/retry.rs
+++ b/crates/holdpoint-core/src/retry.rs
@@ -22,7 +22,7 @@
     }
 
     /// Records a first attempt, which adds `percent` of a retry to the budget.
-    pub fn first(&mut self, percent: u32) {
+    pub fn record_first(&mut self, percent: u32) {
         self.tokens = (self.tokens + f64::from(percent) / 100.0).min(MAX_TOKENS);
     }
 
--- a/crates/holdpoint-core/src/returns.rs
+++ b/crates/holdpoint-core/src/returns.rs
@@ -7,15 +7,15 @@
 
 /// Schedule of retry times for refused requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Returns {
+pub struct RetryTimes {
     next_slot: f64,
 }
 
-impl Returns {
+impl RetryTimes {
     /// Retry delay of the next refused request, in milliseconds. `soonest` is the delay until there is capacity for
     /// one request, `gap_ms` the time between two. The schedule restarts when it is further ahead than callers wait,
     /// since a caller that is refused again takes another slot.
-    pub fn take(&mut self, now: Millis, soonest: Millis, gap_ms: f64) -> Millis {
+    pub fn next_delay_ms(&mut self, now: Millis, soonest: Millis, gap_ms: f64) -> Millis {
         let earliest = (now + soonest) as f64;
         let slot = self.next_slot.max(earliest);
         let at = if earliest + MAX_SPREAD_MS < slot { earliest } else { slot };
--- a/crates/holdpoint-core/src/rollout/exposure.rs
+++ b/crates/holdpoint-core/src/rollout/exposure.rs
@@ -53,6 +53,6 @@
 
 /// Whether a request on `route` may spend a permit while more answers are needed from the `wanted`
 /// routes; `draw` is uniform in 0 to 1.
-pub fn is_wanted(wanted: &[String], route: &str, draw: f64) -> bool {
+pub fn may_spend_permit(wanted: &[String], route: &str, draw: f64) -> bool {
     wanted.is_empty() || wanted.iter().any(|it| it == route) || draw < OTHER_ROUTES_RATE
 }
--- a/crates/holdpoint-core/src/rollout/gate.rs
+++ b/crates/holdpoint-core/src/rollout/gate.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    evacuation::Horizon,
+    evacuation::LogOffset,
     ids::{Millis, Name},
     rollout::{
-        exposure::{Exposure, is_wanted},
+        exposure::{Exposure, may_spend_permit},
         judge::{Answer, Observations},
         order::Order,
-        phase::{Input, Phase},
+        phase::{InstanceReport, Phase},
     },
 };
 
@@ -22,16 +22,17 @@
 
 /// An update from the driver of a roll-out to an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct DriverUpdate {
     /// Offset of the order.
-    pub offset: Horizon,
+    pub offset: LogOffset,
     /// Current phase of the roll-out.
     pub phase: Phase,
     /// Total number of requests that this incarnation of the instance may send to the version before the
     /// roll-out ends.
     pub quota: u64,
     /// Routes that need more answers; requests on other routes spend permits less often.
-    pub wanted: Vec<Name>,
+    #[serde(rename = "wanted")]
+    pub needed_routes: Vec<Name>,
 }
 
 /// Which targets a request may go to.
@@ -53,7 +54,7 @@
     answers: Observations,
     old_running: u64,
     needed_permits: u64,
-    update: Word,
+    update: DriverUpdate,
     /// When the driver's update expires.
     valid_until: Millis,
     is_withdrawn: bool,
@@ -68,7 +69,7 @@
             answers: Observations::default(),
             old_running: 0,
             needed_permits: 1,
-            update: Word::default(),
+            update: DriverUpdate::default(),
             valid_until: 0,
             is_withdrawn: false,
         }
@@ -86,7 +87,7 @@
 
     /// Applies an update from the driver that is valid until a time. Updates for other orders, and those
     /// that follow a final one, are ignored.
-    pub fn hear(&mut self, update: Word, until: Millis) {
+    pub fn apply_update(&mut self, update: DriverUpdate, until: Millis) {
         if update.offset == self.order.offset && !self.update.phase.is_final() {
             (self.update, self.valid_until) = (update, until);
         }
@@ -111,7 +112,7 @@
     pub fn lane(&mut self, now: Millis, route: &str, draw: f64, has_old: bool) -> Lane {
         let lane = self.lane_for(now, 1, has_old);
         let is_selected = match self.phase(now) {
-            Some(Phase::Canary) => is_wanted(&self.update.wanted, route, draw),
+            Some(Phase::Canary) => may_spend_permit(&self.update.needed_routes, route, draw),
             _ => true,
         };
         if lane == Lane::New && !is_selected {
@@ -119,7 +120,7 @@
         }
         // The permit is spent before a target is chosen, so that no concurrent request takes it meanwhile.
         if lane == Lane::New {
-            self.exposed(1);
+            self.count_exposed(1);
         }
         lane
     }
@@ -146,42 +147,42 @@
     }
 
     /// Sets how many permits the next group of requests needs.
-    pub fn wants(&mut self, count: u64) {
+    pub fn set_needed_permits(&mut self, count: u64) {
         self.needed_permits = count.max(1);
     }
 
     /// Counts requests as sent to the service, whichever the version.
-    pub fn reached(&mut self, count: u64) {
+    pub fn count_reached(&mut self, count: u64) {
         self.exposure.reached += count;
     }
 
     /// Counts requests as sent to the version.
-    pub fn exposed(&mut self, count: u64) {
+    pub fn count_exposed(&mut self, count: u64) {
         self.exposure.exposed += count;
     }
 
     /// Counts a request that starts at an old target, until [`Gate::old_ended`].
-    pub fn old_begun(&mut self) {
+    pub fn begin_old(&mut self) {
         self.old_running += 1;
     }
 
     /// Counts the end of such a request.
-    pub fn old_ended(&mut self) {
+    pub fn end_old(&mut self) {
         self.old_running = self.old_running.saturating_sub(1);
     }
 
     /// Records an answer of the new version or of an old one.
-    pub fn answered(&mut self, route: &str, is_new: bool, answer: Answer) {
+    pub fn record_answer(&mut self, route: &str, is_new: bool, answer: Answer) {
         self.answers.add(route, is_new, answer);
     }
 
     /// The report for the driver.
-    pub fn input(&self) -> Input {
-        Input {
+    pub fn report(&self) -> InstanceReport {
+        InstanceReport {
             reached: self.exposure.reached,
             exposed: self.exposure.exposed,
             old_running: self.old_running,
-            wants: self.needed_permits,
+            needed_permits: self.needed_permits,
             answers: self.answers.clone(),
         }
     }
--- a/crates/holdpoint-core/src/rollout/judge.rs
+++ b/crates/holdpoint-core/src/rollout/judge.rs
@@ -59,7 +59,7 @@
     /// A failure, or an incomplete answer.
     Failed,
     /// No answer before the request timed out.
-    Silent,
+    TimedOut,
     /// Refused without being run.
     Refused,
 }
@@ -122,7 +122,7 @@
     fn add(&mut self, answer: Answer) {
         let bucket = match answer {
             Answer::Good(Some(ms)) => bucket(ms),
-            Answer::Silent => BUCKETS - 1,
+            Answer::TimedOut => BUCKETS - 1,
             Answer::Good(None) => return self.untimed += 1,
             Answer::Failed => return self.failed += 1,
             Answer::Refused => return self.refused += 1,
@@ -339,7 +339,7 @@
 
 impl Judge {
     /// Adds answers that were not added before.
-    pub fn take(&mut self, now: Millis, added: &Observations) {
+    pub fn add(&mut self, now: Millis, added: &Observations) {
         let elapsed = now.saturating_sub(std::mem::replace(&mut self.updated_at, now)) as f64;
         let factor = 0.5_f64.powf(elapsed / OLD_HALF_LIFE_MS);
         self.all_old.decay(factor);
@@ -364,12 +364,12 @@
                 return Verdict::Bad(it.fault(route, kind));
             }
         }
-        let is_good = self.all.is_good(GOOD_RATIO) && self.wanted().is_empty();
+        let is_good = self.all.is_good(GOOD_RATIO) && self.needed_routes().is_empty();
         if is_good { Verdict::Good } else { Verdict::Open }
     }
 
     /// Routes on which the version is not yet known to be good, without those that have hardly any requests.
-    pub fn wanted(&self) -> Vec<Name> {
+    pub fn needed_routes(&self) -> Vec<Name> {
         let old_answers: u64 = self.routes.values().map(|it| it.old_answers).sum();
         let least = MIN_ROUTE_SHARE * old_answers as f64;
         let counted = self.routes.iter().filter(|it| least <= it.1.old_answers as f64);
--- a/crates/holdpoint-core/src/rollout/mod.rs
+++ b/crates/holdpoint-core/src/rollout/mod.rs
@@ -11,8 +11,8 @@
 pub mod order;
 pub mod phase;
 
-pub use exposure::{Bound, Exposure, canary_targets, is_wanted};
-pub use gate::{Gate, Lane, Word};
+pub use exposure::{Bound, Exposure, canary_targets, may_spend_permit};
+pub use gate::{DriverUpdate, Gate, Lane};
 pub use judge::{Answer, Counts, Fault, Judge, Observations, RouteCounts, Verdict};
-pub use order::{Order, OrderRecord, Orders, ToldOrders};
-pub use phase::{Input, Phase, Reason, Rollout, State};
+pub use order::{Order, OrderRecord, Orders, OrdersSnapshot};
+pub use phase::{InstanceReport, Phase, Reason, Rollout, State};
--- a/crates/holdpoint-core/src/rollout/order.rs
+++ b/crates/holdpoint-core/src/rollout/order.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    era::{Era, Position, SETTLE_MS},
-    evacuation::Horizon,
+    era::{Epoch, Position, SETTLE_MS},
+    evacuation::LogOffset,
     ids::{Millis, Name},
 };
 
@@ -20,7 +20,7 @@
     /// A version is to be rolled out.
     Ordered {
         /// Position of the record.
-        offset: Horizon,
+        offset: LogOffset,
         /// Service.
         service: Name,
         /// Version that receives the service's traffic.
@@ -31,7 +31,7 @@
     /// The order for a service is withdrawn.
     Withdrawn {
         /// Position of the record.
-        offset: Horizon,
+        offset: LogOffset,
         /// Service.
         service: Name,
     },
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// Position of its record, which identifies the order.
-    pub offset: Horizon,
+    pub offset: LogOffset,
     /// Version that receives the service's traffic.
     pub version: String,
     /// Time allowed for the roll-out, in milliseconds.
@@ -53,8 +53,8 @@
 /// The active orders, by service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Orders {
-    horizon: Horizon,
-    epoch: Option<Era>,
+    horizon: LogOffset,
+    epoch: Option<Epoch>,
     orders: BTreeMap<Name, Order>,
     /// Until when orders of the previous epoch are retained that the restored store lacks. Their operators
     /// may write them again.
@@ -63,18 +63,18 @@
 
 /// The active orders as sent from one instance to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldOrders {
-    horizon: Horizon,
+pub struct OrdersSnapshot {
+    horizon: LogOffset,
     /// Epoch of the log; instances of earlier versions send none.
     #[serde(default, rename = "era")]
-    epoch: Option<Era>,
+    epoch: Option<Epoch>,
     orders: Vec<OrderSnapshot>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct OrderSnapshot {
     service: Name,
-    offset: Horizon,
+    offset: LogOffset,
     version: String,
     duration_ms: Millis,
     left_ms: Millis,
@@ -84,12 +84,12 @@
     /// Creates the state from a full read of the log up to a position. Services without a record have no
     /// order.
     pub fn new(now: Millis, at: Position, records: &[OrderRecord]) -> Orders {
-        let empty = Orders { epoch: at.era, ..Orders::default() };
+        let empty = Orders { epoch: at.epoch, ..Orders::default() };
         Orders { horizon: at.offset, ..empty.followed_by(now, at.offset, records) }
     }
 
     /// Returns the state after all records before `horizon`, given the roll-out `records` among them.
-    pub fn followed_by(&self, now: Millis, horizon: Horizon, records: &[OrderRecord]) -> Orders {
+    pub fn followed_by(&self, now: Millis, horizon: LogOffset, records: &[OrderRecord]) -> Orders {
         let mut next = self.clone();
         for record in records {
             match record {
@@ -124,7 +124,7 @@
         if self.position().is_after(newer.position()) {
             return Vec::new();
         }
-        let is_later_epoch = newer.position().is_of_later_era(self.position());
+        let is_later_epoch = newer.position().is_of_later_epoch(self.position());
         let before = std::mem::replace(self, newer);
         self.retained_until = if is_later_epoch { now + SETTLE_MS } else { before.retained_until };
         if now < self.retained_until {
@@ -148,13 +148,13 @@
     }
 
     /// Offset up to which the log is known.
-    pub fn horizon(&self) -> Horizon {
+    pub fn horizon(&self) -> LogOffset {
         self.horizon
     }
 
     /// Position up to which the log is known, with its epoch.
     pub fn position(&self) -> Position {
-        Position { era: self.epoch, offset: self.horizon }
+        Position { epoch: self.epoch, offset: self.horizon }
     }
 
     /// The order for a service.
@@ -173,7 +173,7 @@
     }
 
     /// Returns the state to send to another instance.
-    pub fn told(&self, now: Millis) -> ToldOrders {
+    pub fn snapshot(&self, now: Millis) -> OrdersSnapshot {
         let snapshot = |(service, it): (&Name, &Order)| OrderSnapshot {
             service: service.clone(),
             offset: it.offset,
@@ -182,13 +182,13 @@
             left_ms: it.until.saturating_sub(now),
         };
         let orders = self.orders.iter().map(snapshot).collect();
-        ToldOrders { horizon: self.horizon, epoch: self.epoch, orders }
+        OrdersSnapshot { horizon: self.horizon, epoch: self.epoch, orders }
     }
 }
 
-impl ToldOrders {
+impl OrdersSnapshot {
     /// Converts the state received from another instance; the remaining time of its orders counts from `now`.
-    pub fn taken(self, now: Millis) -> Orders {
+    pub fn into_orders(self, now: Millis) -> Orders {
         let with_deadline = |it: OrderSnapshot| {
             let order = Order {
                 offset: it.offset,
--- a/crates/holdpoint-core/src/rollout/phase.rs
+++ b/crates/holdpoint-core/src/rollout/phase.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    evacuation::Horizon,
+    evacuation::LogOffset,
     ids::{Millis, Name},
     rollout::{
         exposure::{Bound, canary_targets},
@@ -125,7 +125,7 @@
 
 /// An instance's report to the driver; all counts are totals since it saw the order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Input {
+pub struct InstanceReport {
     /// Number of requests sent to the service, whichever the version.
     pub reached: u64,
     /// Number of requests among them sent to the version.
@@ -133,7 +133,8 @@
     /// Number of the instance's requests that still run at old targets.
     pub old_running: u64,
     /// Number of permits needed at once, for requests that are sent together.
-    pub wants: u64,
+    #[serde(rename = "wants")]
+    pub needed_permits: u64,
     /// Answers received.
     pub answers: Observations,
 }
@@ -141,7 +142,7 @@
 /// The driver's state for one incarnation of an instance.
 #[derive(Clone, Debug, Default)]
 struct InstanceState {
-    input: Input,
+    input: InstanceReport,
     /// Total number of requests that it may send to the version.
     quota: u64,
     /// Number of requests sent to the version by its first report to this driver.
@@ -210,12 +211,12 @@
     }
 
     /// Offset of the order, which identifies it.
-    pub fn offset(&self) -> Horizon {
+    pub fn offset(&self) -> LogOffset {
         self.order.offset
     }
 
     /// Adopts a final phase read from the store, which overrides this driver's own decision.
-    pub fn end(&mut self, now: Millis, phase: Phase) {
+    pub fn adopt_final(&mut self, now: Millis, phase: Phase) {
         if phase.is_final() {
             (self.phase, self.phase_since) = (phase, now);
         }
@@ -223,12 +224,18 @@
 
     /// Applies a deadline that an earlier driver recorded or an instance reported, if it is earlier than
     /// the known one.
-    pub fn end_by(&mut self, until: Millis) {
+    pub fn limit_deadline(&mut self, until: Millis) {
         self.order.until = self.order.until.min(until);
     }
 
     /// Records the report of an incarnation of an instance. Repeated and late reports count nothing twice.
-    pub fn tell(&mut self, now: Millis, instance: &str, incarnation: u64, input: Input) {
+    pub fn record_report(
+        &mut self,
+        now: Millis,
+        instance: &str,
+        incarnation: u64,
+        input: InstanceReport,
+    ) {
         let first_exposed = input.exposed;
         let first_report =
             || InstanceState { first_exposed, quota: first_exposed, ..InstanceState::default() };
@@ -238,7 +245,7 @@
         if is_older {
             return;
         }
-        self.judge.take(now, &input.answers.since(&state.input.answers));
+        self.judge.add(now, &input.answers.since(&state.input.answers));
         state.input = input;
     }
 
@@ -257,8 +264,8 @@
     }
 
     /// Routes on which the version is not yet known to be good.
-    pub fn wanted(&self) -> Vec<Name> {
-        self.judge.wanted()
+    pub fn needed_routes(&self) -> Vec<Name> {
+        self.judge.needed_routes()
     }
 
     /// Raises the quota of an incarnation of an instance if the phase allows, and returns it: the total
@@ -273,7 +280,7 @@
         let before = state.quota.max(state.input.exposed);
         let unspent = before - state.input.exposed;
         // Until all traffic moves, an instance with enough permits for its next request gets no more.
-        let is_served = self.phase != Phase::Full && state.input.wants <= unspent;
+        let is_served = self.phase != Phase::Full && state.input.needed_permits <= unspent;
         if 1.0 <= left && !is_served {
             let share = state.input.reached as f64 / reached.max(1) as f64;
             // Rounded up, since with many instances each share may be below one permit.
@@ -311,7 +318,7 @@
     }
 
     /// Confirms that `count` permits in total have been recorded as granted.
-    pub fn reserved(&mut self, count: u64) {
+    pub fn confirm_reserve(&mut self, count: u64) {
         self.reserve = self.reserve.max(count);
     }
 
@@ -322,7 +329,7 @@
 
     /// The phase that is due now, if any, and its reason, given how many targets of the new version and of
     /// old ones may get work. The caller records it where needed, then calls [`Rollout::enter`].
-    pub fn next(&mut self, now: Millis, new: usize, old: usize) -> Option<(Phase, Reason)> {
+    pub fn due_phase(&mut self, now: Millis, new: usize, old: usize) -> Option<(Phase, Reason)> {
         if self.phase.is_final() {
             return None;
         }
@@ -390,7 +397,7 @@
 
     /// Whether the state may be published. Completion is delayed while old targets are busy, since operators
     /// stop them once it is published.
-    pub fn may_tell(&self, now: Millis) -> bool {
+    pub fn may_publish(&self, now: Millis) -> bool {
         let is_propagated = self.phase_since + PUBLISH_DELAY_MS <= now;
         let is_due = self.order.until <= now + LATEST_PUBLISH_MS;
         self.phase != Phase::Completed || (is_propagated && (is_due || self.is_old_idle()))
@@ -405,7 +412,7 @@
     }
 
     /// The phase that is due since the order was withdrawn; `None` if the roll-out has already ended.
-    pub fn withdrawn(&self) -> Option<(Phase, Reason)> {
+    pub fn withdrawal(&self) -> Option<(Phase, Reason)> {
         (!self.phase.is_final()).then_some((Phase::RolledBack, Reason::Withdrawn))
     }
 
--- a/crates/holdpoint-core/src/route.rs
+++ b/crates/holdpoint-core/src/route.rs
@@ -14,14 +14,14 @@
 use holdpoint_schema::resources::{Policy, Route};
 use rand::{Rng, RngExt};
 
-pub use crate::choice::{Call, Choice, End, Load, Member, NoTarget, Reason};
+pub use crate::choice::{Call, CallOutcome, Choice, Load, Member, NoTarget, Reason};
 use crate::{
     admit::Signal,
-    cold::{Credits, Share},
+    cold::{ColdBucket, Share},
     confinement::is_within,
     ids::Millis,
     subset::weight,
-    told_pace::ToldPace,
+    told_pace::ReportedPace,
     topology::Topology,
 };
 
@@ -61,7 +61,7 @@
     /// Milliseconds per unit of work, without queueing; 0 if unknown.
     pace: f64,
     /// Momentary slowdown that the target reports.
-    slowdown: ToldPace,
+    slowdown: ReportedPace,
     /// Calls that the target runs concurrently, inferred from its reports; 0 if unknown.
     slots: f64,
     failures: u32,
@@ -71,7 +71,7 @@
     /// When the prefill of the prompts placed there ends, in milliseconds.
     prefill_until: f64,
     /// Limits its calls while it is cold.
-    credits: Credits,
+    credits: ColdBucket,
     /// Gets no calls before this time, since its rate limit over all instances is reached.
     limited_until: Millis,
     /// Gets no calls of this instance before this time, since it has asked this instance to back off.
@@ -167,7 +167,7 @@
     }
 
     /// Excludes a target until a time, in milliseconds.
-    pub fn close_until(&mut self, address: &str, until: Millis) {
+    pub fn limit_until(&mut self, address: &str, until: Millis) {
         if let Some(it) = self.target_mut(address) {
             it.limited_until = until;
         }
@@ -219,7 +219,7 @@
         rng: &mut impl Rng,
     ) -> Result<Choice, NoTarget> {
         if self.targets.is_empty() {
-            let is_evacuated = self.members.values().any(|it| it.held && !it.leaving);
+            let is_evacuated = self.members.values().any(|it| it.is_evacuated && !it.is_draining);
             return Err(if is_evacuated { NoTarget::Evacuated } else { NoTarget::Empty });
         }
         let (candidates, ejected) = self.candidates(now, policy, call, region)?;
@@ -260,7 +260,7 @@
 
     /// Records that an instance, this one or another, has placed a prompt at a target. The target is
     /// expected to cache its prefix, and prefills it before later prompts.
-    pub fn placed(&mut self, now: Millis, address: &str, call: &Call<'_>) {
+    pub fn record_placed(&mut self, now: Millis, address: &str, call: &Call<'_>) {
         let Some(prefix) = call.prefix else { return };
         let pace = self.mean_pace().min(MAX_PREFILL_PACE_MS);
         let Some(target) = self.target_mut(address) else { return };
@@ -277,7 +277,7 @@
     }
 
     /// Records the end of a call. Consecutive failures eject the target.
-    pub fn ended(&mut self, now: Millis, address: &str, work: f64, end: End) {
+    pub fn ended(&mut self, now: Millis, address: &str, work: f64, end: CallOutcome) {
         let (eject_failures, eject_ms) = (self.policy.eject_failures, self.policy.eject_ms);
         let known = self.target(address);
         // The round trip to another region is not part of the target's pace.
@@ -286,14 +286,14 @@
         let mut paces = self.paces;
         let Some(target) = self.target_mut(address) else { return };
         match end {
-            End::Whole(ms) => {
+            CallOutcome::Completed(ms) => {
                 let before = target.known_pace();
                 update_pace(now, target, work, ms.saturating_sub(distance_ms));
                 paces.replace(before, target.known_pace());
                 target.failures = 0;
                 target.ejections = 0;
             }
-            End::Failed => {
+            CallOutcome::Failed => {
                 target.failures += 1;
                 if eject_failures <= target.failures {
                     let doublings = target.ejections.min(MAX_EJECT_DOUBLINGS);
@@ -302,7 +302,7 @@
                     target.failures = eject_failures.saturating_sub(1);
                 }
             }
-            End::Dropped => (),
+            CallOutcome::Cancelled => (),
         }
         target.in_flight = target.in_flight.saturating_sub(1);
         target.work = (target.work - work).max(0.0);
@@ -310,14 +310,14 @@
     }
 
     /// Applies a load report that a target made at `at`; older reports than the last one are ignored.
-    pub fn report(&mut self, at: Millis, address: &str, load: Load) {
+    pub fn apply_report(&mut self, at: Millis, address: &str, load: Load) {
         let mut mean_others = self.other_calls;
         let Some(target) = self.target_mut(address) else { return };
         if target.report.as_ref().is_some_and(|it| at < it.at) {
             return;
         }
         if let Some(it) = load.pace_percent {
-            target.slowdown.told(at, it);
+            target.slowdown.record(at, it);
         }
         let running = f64::from(load.running);
         // A queue means that all slots are in use; without one there is at least one more.
@@ -455,7 +455,7 @@
 
 /// Region of a failure domain; empty where there is only one region or it is unknown.
 fn region(topology: &Topology, domain: &str) -> String {
-    let known = topology.region_of(domain).filter(|_| topology.is_split());
+    let known = topology.region_of(domain).filter(|_| topology.has_regions());
     known.unwrap_or_default().to_owned()
 }
 
--- a/crates/holdpoint-core/src/route/members.rs
+++ b/crates/holdpoint-core/src/route/members.rs
@@ -13,7 +13,8 @@
             return;
         }
         self.members = members.iter().map(|it| (it.address.clone(), it.clone())).collect();
-        let active: Vec<&Member> = members.iter().filter(|it| !it.leaving && !it.held).collect();
+        let active: Vec<&Member> =
+            members.iter().filter(|it| !it.is_draining && !it.is_evacuated).collect();
         let addresses = active.iter().map(|it| it.address.as_str());
         let chosen = subset(&self.salt, addresses, self.policy.subset as usize);
         let mut old: HashMap<String, Target> =
@@ -26,7 +27,7 @@
             let target = old.remove(&member.address).unwrap_or_else(|| new_target(member));
             self.insert_target(member, target);
         }
-        let evacuated = members.iter().filter(|it| it.held && !it.leaving);
+        let evacuated = members.iter().filter(|it| it.is_evacuated && !it.is_draining);
         self.evacuated = evacuated.filter_map(|it| old.remove_entry(&it.address)).collect();
     }
 
@@ -45,9 +46,9 @@
         }
         let before =
             self.remove_target(&member.address).or_else(|| self.evacuated.remove(&member.address));
-        if member.held && !member.leaving {
+        if member.is_evacuated && !member.is_draining {
             self.evacuated.extend(before.map(|it| (member.address.clone(), it)));
-        } else if !member.leaving {
+        } else if !member.is_draining {
             let target = before.unwrap_or_else(|| new_target(&member));
             self.insert_target(&member, target);
         }
@@ -71,10 +72,10 @@
 
     /// Marks a target as draining and stops routing to it at once. The next membership update confirms or
     /// corrects this.
-    pub fn leave(&mut self, address: &str) {
+    pub fn drain(&mut self, address: &str) {
         self.remove_target(address);
         if let Some(it) = self.members.get_mut(address) {
-            it.leaving = true;
+            it.is_draining = true;
         }
     }
 
--- a/crates/holdpoint-core/src/route/predict.rs
+++ b/crates/holdpoint-core/src/route/predict.rs
@@ -68,7 +68,7 @@
 
     /// Whether a target is in another region.
     pub(super) fn is_remote(&self, target: &Target) -> bool {
-        self.topology.is_split() && target.region != self.topology.own_region()
+        self.topology.has_regions() && target.region != self.topology.own_region()
     }
 
     /// Calls of other instances at a target: its report, decaying with age to the mean of all
--- a/crates/holdpoint-core/src/spill.rs
+++ b/crates/holdpoint-core/src/spill.rs
@@ -30,7 +30,8 @@
     /// Number of work items that may be sent there.
     pub places: u32,
     /// Duration in milliseconds, from when the lease was requested.
-    pub for_ms: Millis,
+    #[serde(rename = "for_ms")]
+    pub duration_ms: Millis,
     /// Usual time of the stage there, in milliseconds.
     pub usual_ms: Millis,
 }
@@ -55,7 +56,7 @@
         if places != 0 {
             self.granted.push_back((now + LEASE_MS + TRANSIT_MS, places));
         }
-        Lease { places, for_ms: LEASE_MS, usual_ms }
+        Lease { places, duration_ms: LEASE_MS, usual_ms }
     }
 }
 
@@ -86,7 +87,7 @@
         self.wanted = 0;
         self.usual_ms = lease.usual_ms;
         if lease.places != 0 {
-            self.leases.push_back((asked_at + lease.for_ms.min(LEASE_MS), lease.places));
+            self.leases.push_back((asked_at + lease.duration_ms.min(LEASE_MS), lease.places));
         }
     }
 
@@ -109,34 +110,34 @@
 
 /// Estimated times of a request in its own region and in another one, in milliseconds from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prospect {
+pub struct SpillEstimate {
     /// Time left until it is late.
     pub left_ms: Millis,
     /// Expected time in its own region.
-    pub here_ms: Millis,
+    pub local_ms: Millis,
     /// Expected time in the other region, transit included.
-    pub there_ms: Millis,
+    pub remote_ms: Millis,
 }
 
-impl Prospect {
+impl SpillEstimate {
     /// Whether to send the request to the other region: it would be late here, and would be in time and clearly
     /// faster there.
-    pub fn is_worth_it(&self) -> bool {
-        self.left_ms < self.here_ms
-            && self.there_ms <= self.left_ms
-            && self.there_ms + MIN_GAIN_MS <= self.here_ms
+    pub fn should_spill(&self) -> bool {
+        self.left_ms < self.local_ms
+            && self.remote_ms <= self.left_ms
+            && self.remote_ms + MIN_GAIN_MS <= self.local_ms
     }
 }
 
 /// Length of the critical path of a request's stages, in milliseconds; `ms` gives the time of each stage.
 /// Stages without work items are left out.
-pub fn chain_ms(graph: &StageGraph, ms: &impl Fn(usize) -> Millis) -> Millis {
-    let stages = (0..graph.len()).filter(|it| graph.pieces(*it) != 0);
+pub fn critical_path_ms(graph: &StageGraph, ms: &impl Fn(usize) -> Millis) -> Millis {
+    let stages = (0..graph.len()).filter(|it| graph.items(*it) != 0);
     stages.map(|it| path_ms(graph, it, ms)).max().unwrap_or(0)
 }
 
 fn path_ms(graph: &StageGraph, stage: usize, ms: &impl Fn(usize) -> Millis) -> Millis {
-    ms(stage) + graph.after(stage).map(|it| path_ms(graph, it, ms)).max().unwrap_or(0)
+    ms(stage) + graph.dependents(stage).map(|it| path_ms(graph, it, ms)).max().unwrap_or(0)
 }
 
 /// Bandwidth budget of one of several users of a share of a link, as a token bucket.
--- a/crates/holdpoint-core/src/stage_graph.rs
+++ b/crates/holdpoint-core/src/stage_graph.rs
@@ -8,7 +8,7 @@
 
 /// Input of a work item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PieceSource {
+pub enum ItemSource {
     /// The request's own key.
     Key(String),
     /// The results with these handles.
@@ -17,15 +17,16 @@
 
 /// A work item to process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PieceWork {
+pub struct WorkItem {
     /// Id of the request.
     pub request: String,
     /// Index of the stage.
     pub stage: usize,
     /// Index of the item within the stage.
-    pub piece: u32,
+    #[serde(rename = "piece")]
+    pub item: u32,
     /// Its input.
-    pub source: PieceSource,
+    pub source: ItemSource,
 }
 
 /// Why a work item has no result.
@@ -75,34 +76,34 @@
     }
 
     /// Number of items of a stage.
-    pub fn pieces(&self, stage: usize) -> u32 {
+    pub fn items(&self, stage: usize) -> u32 {
         self.items[stage]
     }
 
     /// Direct dependencies of a stage that are not skipped.
-    pub fn needs(&self, stage: usize) -> impl Iterator<Item = usize> {
+    pub fn dependencies(&self, stage: usize) -> impl Iterator<Item = usize> {
         self.dependencies[stage].iter().copied().filter(|it| self.items[*it] != 0)
     }
 
     /// Whether any stage depends on a stage.
-    pub fn is_needed(&self, stage: usize) -> bool {
-        self.after(stage).next().is_some()
+    pub fn has_dependents(&self, stage: usize) -> bool {
+        self.dependents(stage).next().is_some()
     }
 
     /// Stages whose results go to the request's own service.
-    pub fn last(&self) -> impl Iterator<Item = usize> {
-        (0..self.len()).filter(|it| self.items[*it] != 0 && !self.is_needed(*it))
+    pub fn final_stages(&self) -> impl Iterator<Item = usize> {
+        (0..self.len()).filter(|it| self.items[*it] != 0 && !self.has_dependents(*it))
     }
 
     /// Stages to run again when the inputs of a stage are lost: its direct dependencies, and
     /// recursively those of their dependencies whose results are no longer stored, since results
     /// are released after use.
-    pub fn lost_before(&self, stage: usize, is_held: impl Fn(usize) -> bool) -> Vec<usize> {
-        let mut lost: Vec<usize> = self.needs(stage).collect();
+    pub fn stages_to_redo(&self, stage: usize, is_held: impl Fn(usize) -> bool) -> Vec<usize> {
+        let mut lost: Vec<usize> = self.dependencies(stage).collect();
         let mut next = 0;
         while next < lost.len() {
             let is_new = |it: &usize| !is_held(*it) && !lost.contains(it);
-            let before: Vec<usize> = self.needs(lost[next]).filter(is_new).collect();
+            let before: Vec<usize> = self.dependencies(lost[next]).filter(is_new).collect();
             lost.extend(before);
             next += 1;
         }
@@ -111,11 +112,11 @@
 
     /// All direct and indirect dependents of a stage, each with the length of the longest path to
     /// it.
-    pub fn ahead(&self, stage: usize) -> Vec<(usize, u32)> {
+    pub fn all_dependents(&self, stage: usize) -> Vec<(usize, u32)> {
         let mut depths: BTreeMap<usize, u32> = BTreeMap::new();
         let mut next = vec![(stage, 0)];
         while let Some((stage, depth)) = next.pop() {
-            for after in self.after(stage) {
+            for after in self.dependents(stage) {
                 let known = depths.entry(after).or_default();
                 if *known <= depth {
                     *known = depth + 1;
@@ -127,7 +128,7 @@
     }
 
     /// Stages that directly depend on a stage.
-    pub fn after(&self, stage: usize) -> impl Iterator<Item = usize> {
+    pub fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> {
         (0..self.len())
             .filter(move |it| self.items[*it] != 0 && self.dependencies[*it].contains(&stage))
     }
--- a/crates/holdpoint-core/src/target_limits.rs
+++ b/crates/holdpoint-core/src/target_limits.rs
@@ -64,11 +64,11 @@
 
 /// Whether this instance is certain to be the only owner of the rate-limit states that it owns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keeping {
+pub enum Ownership {
     /// All candidates for ownership are reachable.
-    Sure,
+    Sole,
     /// Some candidates are unreachable, and may act as owners for other instances.
-    Unsure {
+    Contested {
         /// Number of reachable candidates, including this instance.
         reached: usize,
         /// Number of all candidates.
@@ -76,12 +76,12 @@
     },
 }
 
-impl Keeping {
+impl Ownership {
     fn share(self) -> f64 {
         match self {
-            Keeping::Sure => 1.0,
+            Ownership::Sole => 1.0,
             // The shares of all sides of a partition add up to at most the whole limit.
-            Keeping::Unsure { reached, of } => {
+            Ownership::Contested { reached, of } => {
                 (reached.max(1) as f64 / of.max(1) as f64).min(CONTESTED_SHARE)
             }
         }
@@ -121,7 +121,7 @@
 
 /// An update on a target's limit, as sent between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// The target.
     pub target: TargetId,
     /// Its service.
@@ -134,10 +134,10 @@
     pub age_ms: Millis,
 }
 
-impl LimitNews {
+impl LimitUpdate {
     /// Returns the time span of the answer by the receiver's clock, for an update received at `now`. The span
     /// starts earlier by the maximum transit time, which is not part of the ages sent.
-    pub fn made(&self, now: Millis) -> AnswerSpan {
+    pub fn answer_span(&self, now: Millis) -> AnswerSpan {
         let sent = now.saturating_sub(self.sent_ms + MAX_TRANSIT_MS);
         AnswerSpan { sent, received: now.saturating_sub(self.age_ms) }
     }
@@ -174,7 +174,7 @@
     }
 
     /// Time between requests in milliseconds; `None` if there is no limit.
-    fn interval_ms(&self, keeping: Keeping) -> Option<f64> {
+    fn interval_ms(&self, keeping: Ownership) -> Option<f64> {
         Some(1000.0 / (self.sent_per_s()? * keeping.share()))
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Until when no further request is admitted, as known to this instance.
-    fn closed_until(&self, now: Millis, keeping: Keeping) -> Millis {
+    fn closed_until(&self, now: Millis, keeping: Ownership) -> Millis {
         let Some(interval) = self.interval_ms(keeping) else { return 0 };
         match self.rate.since {
             Some(_) => self.next(now, interval).ceil() as Millis,
@@ -211,9 +211,9 @@
         named: NamedLimit,
     ) -> Change {
         let change = match named {
-            NamedLimit::PerSecond(it) => self.learn(made, (id, service), Some(it)),
+            NamedLimit::PerSecond(it) => self.apply(made, (id, service), Some(it)),
             NamedLimit::Nothing if self.limits.contains_key(id) => {
-                self.learn(made, (id, service), None)
+                self.apply(made, (id, service), None)
             }
             NamedLimit::Nothing | NamedLimit::Invalid => return Change::Nothing,
         };
@@ -226,7 +226,7 @@
     /// Applies a limit in requests per second, or the absence of one, from an answer made in the span `made`.
     /// Answers may arrive out of order: if the spans of this answer and the last one overlap, the lower limit
     /// applies, since it is unknown which is newer.
-    pub fn learn(
+    pub fn apply(
         &mut self,
         made: AnswerSpan,
         (id, service): (&str, &str),
@@ -258,7 +258,7 @@
     }
 
     /// Sets whether this instance owns the rate-limit state of a target.
-    pub fn keep(&mut self, now: Millis, id: &str, is_owner: bool) {
+    pub fn set_owned(&mut self, now: Millis, id: &str, is_owner: bool) {
         let Some(limit) = self.limits.get_mut(id) else { return };
         match (limit.rate.since, is_owner) {
             (None, true) => limit.rate = RateState { since: Some(now), last: f64::NEG_INFINITY },
@@ -271,8 +271,8 @@
     }
 
     /// Admits a request to a target if the limit allows one now. The caller must be the owner of the state.
-    pub fn take(&mut self, now: Millis, id: &str, keeping: Keeping) -> Slot {
-        self.keep(now, id, true);
+    pub fn try_acquire(&mut self, now: Millis, id: &str, keeping: Ownership) -> Slot {
+        self.set_owned(now, id, true);
         let Some(limit) = self.limits.get_mut(id) else { return Slot::Free };
         let Some(interval) = limit.interval_ms(keeping) else { return Slot::Free };
         let next = limit.next(now, interval);
@@ -285,12 +285,12 @@
     }
 
     /// Whether a requester's limit is stale, as judged by this instance as the owner.
-    pub fn is_stale(&self, update: &LimitNews) -> bool {
+    pub fn is_stale(&self, update: &LimitUpdate) -> bool {
         !self.limits.contains_key(&update.target) && STALE_MS <= update.age_ms
     }
 
     /// Records that the owner of a target's state admits nothing for `ms` milliseconds.
-    pub fn refused(&mut self, now: Millis, id: &str, ms: Millis) {
+    pub fn record_refusal(&mut self, now: Millis, id: &str, ms: Millis) {
         if let Some(it) = self.limits.get_mut(id) {
             it.refused_until = now + ms;
         }
@@ -301,7 +301,7 @@
         &'a self,
         now: Millis,
         service: &'a str,
-        keeping: Keeping,
+        keeping: Ownership,
     ) -> impl Iterator<Item = Allowance<'a>> {
         let its = self.limits.iter().filter(move |it| it.1.service == service);
         its.map(move |(target, it)| Allowance {
@@ -323,13 +323,13 @@
     }
 
     /// Removes old entries of ended limits and of unknown targets.
-    pub fn forget(&mut self, now: Millis, is_known: impl Fn(&str) -> bool) {
+    pub fn remove_expired(&mut self, now: Millis, is_known: impl Fn(&str) -> bool) {
         let is_new = |it: &Limit| now < it.made.received + RETENTION_MS;
         self.limits.retain(|id, it| is_new(it) || (it.per_s.is_some() && is_known(id)));
     }
 
     /// Whether this instance owns the rate-limit state of any target.
-    pub fn keeps_any(&self) -> bool {
+    pub fn owns_any(&self) -> bool {
         self.limits.values().any(|it| it.rate.since.is_some())
     }
 
@@ -359,10 +359,10 @@
     }
 
     /// The update on a target's limit to send to other instances; `None` if no limit is known.
-    pub fn news(&self, now: Millis, id: &str) -> Option<LimitNews> {
+    pub fn update(&self, now: Millis, id: &str) -> Option<LimitUpdate> {
         let limit = self.limits.get(id)?;
         let ago = |at: Millis| now.saturating_sub(at);
-        Some(LimitNews {
+        Some(LimitUpdate {
             target: id.to_owned(),
             service: limit.service.clone(),
             per_s: limit.per_s,
--- a/crates/holdpoint-core/src/token.rs
+++ b/crates/holdpoint-core/src/token.rs
@@ -12,7 +12,7 @@
 
 /// Position of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct StreamPosition {
     /// Organisation that may resume the stream.
     #[serde(rename = "o")]
     pub organisation: Name,
@@ -61,7 +61,7 @@
 /// # Panics
 ///
 /// Panics if `keys` is empty, which the settings don't allow.
-pub fn seal(position: &Place, keys: &[TokenKey]) -> String {
+pub fn seal(position: &StreamPosition, keys: &[TokenKey]) -> String {
     let key = &keys[0];
     let body = serde_json::to_vec(position).expect("a position has string keys only");
     let tag = tag(key, &body).finalize().into_bytes();
@@ -70,7 +70,7 @@
 }
 
 /// Verifies a token by `keys` and reads its position.
-pub fn open(token: &str, keys: &[TokenKey]) -> Result<Place, BadToken> {
+pub fn open(token: &str, keys: &[TokenKey]) -> Result<StreamPosition, BadToken> {
     let mut parts = token.splitn(3, '.');
     let mut part = || parts.next().ok_or(BadToken::Format);
     let (id, body, received_tag) = (part()?, part()?, part()?);
@@ -86,7 +86,7 @@
 }
 
 /// Reads the position in a token without verifying the signature; only for a caller's own use.
-pub fn peek(token: &str) -> Option<Place> {
+pub fn peek(token: &str) -> Option<StreamPosition> {
     let body = token.split('.').nth(1)?;
     serde_json::from_slice(&URL_SAFE_NO_PAD.decode(body).ok()?).ok()
 }
--- a/crates/holdpoint-core/src/told_pace.rs
+++ b/crates/holdpoint-core/src/told_pace.rs
@@ -17,15 +17,15 @@
 
 /// Moving average of a target's reported pace.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ToldPace {
+pub struct ReportedPace {
     /// As a multiple of the usual time.
     mean: f64,
     updated: Option<Millis>,
 }
 
-impl ToldPace {
+impl ReportedPace {
     /// Records a report, in percent of the usual time.
-    pub fn told(&mut self, now: Millis, percent: u32) {
+    pub fn record(&mut self, now: Millis, percent: u32) {
         let reported = (f64::from(percent) / 100.0).clamp(FACTOR_RANGE.0, FACTOR_RANGE.1);
         let weight = match self.updated {
             None => 1.0,
--- a/crates/holdpoint-core/src/topology.rs
+++ b/crates/holdpoint-core/src/topology.rs
@@ -42,14 +42,14 @@
     }
 
     /// Whether there are several regions and that of the instance is known.
-    pub fn is_split(&self) -> bool {
+    pub fn has_regions(&self) -> bool {
         self.is_split
     }
 
     /// Whether a failure domain is in the instance's region. This holds for all domains unless there are
     /// several regions; a domain of an unknown region then counts as outside.
     pub fn is_near(&self, domain: &str) -> bool {
-        !self.is_split() || self.region_of(domain) == Some(self.own_region())
+        !self.has_regions() || self.region_of(domain) == Some(self.own_region())
     }
 
     /// All configured regions, in the order of their names.
--- a/crates/holdpoint-core/tests/backoffs.rs
+++ b/crates/holdpoint-core/tests/backoffs.rs
@@ -23,20 +23,24 @@
     let mut backoffs = Backoffs::default();
     assert_eq!(backoffs.request(1000, key, Some(1), 3000), Some(3000));
     assert_eq!(backoffs.request(1500, key, Some(1), 1000), None, "a shorter backoff is ignored");
-    assert_eq!((backoffs.left(1500, key), backoffs.left(4000, key)), (2500, 0));
+    assert_eq!((backoffs.remaining_ms(1500, key), backoffs.remaining_ms(4000, key)), (2500, 0));
     assert_eq!(backoffs.request(2000, key, Some(1), 3000), Some(3000));
-    assert_eq!(backoffs.left(2000, key), 3000);
+    assert_eq!(backoffs.remaining_ms(2000, key), 3000);
     assert_eq!(backoffs.request(2000, key, Some(1), 0), None);
     assert_eq!(
         backoffs.request(2000, key, Some(1), Millis::MAX),
         Some(600_000),
         "capped at ten minutes"
     );
-    assert_eq!(backoffs.left(2000, ("t-2", SERVICE)), 0);
-    backoffs.new_life("t-1", Some(1));
-    assert_ne!(backoffs.left(2000, key), 0, "the same incarnation was listed again");
-    backoffs.new_life("t-1", Some(2));
-    assert_eq!(backoffs.left(2000, key), 0, "the next incarnation starts without a backoff");
+    assert_eq!(backoffs.remaining_ms(2000, ("t-2", SERVICE)), 0);
+    backoffs.set_incarnation("t-1", Some(1));
+    assert_ne!(backoffs.remaining_ms(2000, key), 0, "the same incarnation was listed again");
+    backoffs.set_incarnation("t-1", Some(2));
+    assert_eq!(
+        backoffs.remaining_ms(2000, key),
+        0,
+        "the next incarnation starts without a backoff"
+    );
 }
 
 /// Memory is bounded by the number of targets with an active backoff.
@@ -51,7 +55,7 @@
         assert_eq!(backoffs.of_service(1000, SERVICE).count(), 0);
         backoffs.request(1000, ("t-0", SERVICE), None, 1000);
         assert_eq!(backoffs.len(), 1);
-        backoffs.forget(2000);
+        backoffs.remove_expired(2000);
         assert!(backoffs.is_empty());
     }
 }
@@ -59,7 +63,7 @@
 #[test]
 fn an_invalid_backoff_is_logged_once_per_target_up_to_a_limit() {
     let mut backoffs = Backoffs::default();
-    let logged = (0..1000).filter(|it| backoffs.note_invalid(&format!("t-{}", it % 500))).count();
+    let logged = (0..1000).filter(|it| backoffs.record_invalid(&format!("t-{}", it % 500))).count();
     assert_eq!(logged, 64);
 }
 
@@ -114,7 +118,7 @@
             address: format!("10.0.0.{it}:80"),
             domain: "d".to_owned(),
             slots: 8,
-            is_leaving: false,
+            is_draining: false,
             sequence: 1,
             cold_left_ms: None,
             born: Some(1),
@@ -155,15 +159,15 @@
     fn send(&mut self) {
         let count = self.instances.len();
         let (placer, sender) = (self.rng.random_range(0..count), self.rng.random_range(0..count));
-        let listed = self.instances[placer].directory.all().filter(|it| !it.is_leaving);
+        let listed = self.instances[placer].directory.all().filter(|it| !it.is_draining);
         let listed: Vec<String> = listed.map(|it| it.id.clone()).collect();
         if listed.is_empty() {
             return;
         }
         let id = &listed[self.rng.random_range(0..listed.len())];
         let instance = &self.instances[sender];
-        let Some(target) = instance.directory.get(id).filter(|it| !it.is_leaving) else { return };
-        if instance.backoffs.left(self.now, (id, SERVICE)) != 0 {
+        let Some(target) = instance.directory.get(id).filter(|it| !it.is_draining) else { return };
+        if instance.backoffs.remaining_ms(self.now, (id, SERVICE)) != 0 {
             return;
         }
         let (to, incarnation) = (target.clone(), instance.incarnation);
@@ -212,15 +216,15 @@
             instance.drain_notices.entry((target.id.clone(), target.born.unwrap())).or_insert(now);
         }
         // Answers of a former incarnation are ignored, as in the ingress.
-        if instance.directory.is_former_life(&target.id, target.born) {
+        if instance.directory.is_former_incarnation(&target.id, target.born) {
             return;
         }
         if let Some(ms) = backoff_ms {
             instance.backoffs.request(now, (&target.id, SERVICE), target.born, ms);
         }
         if is_draining {
-            instance.directory.leave(&target.id, target.born);
-            let entry = TargetInstance { is_leaving: true, ..target };
+            instance.directory.mark_draining(&target.id, target.born);
+            let entry = TargetInstance { is_draining: true, ..target };
             for to in 0..self.instances.len() {
                 if self.rng.random_bool(0.7) {
                     self.post(Message::DirectoryUpdate { to, entry: entry.clone() });
@@ -233,7 +237,7 @@
         let instance = &mut self.instances[to];
         let (id, born) = (entry.id.clone(), entry.born);
         if matches!(instance.directory.put(self.now, entry), Change::Joined | Change::Restarted) {
-            instance.backoffs.new_life(&id, born);
+            instance.backoffs.set_incarnation(&id, born);
         }
     }
 
--- a/crates/holdpoint-core/tests/batcher.rs
+++ b/crates/holdpoint-core/tests/batcher.rs
@@ -7,16 +7,16 @@
     batcher::Batcher,
     choice::Load,
     ingress::StageStep,
-    pieces::{Call, CallEnd, Sizes, Waiting},
+    pieces::{Call, CallEnd, CallProfile, QueuedItem},
     stage_graph::StageGraph,
 };
 use proptest::prelude::*;
 
-const SIZES: Sizes = Sizes {
-    calls: 1,
-    pieces: 6,
+const SIZES: CallProfile = CallProfile {
+    max_calls: 1,
+    max_items: 6,
     call_ms: 200.0,
-    piece_ms: 20.0,
+    item_ms: 20.0,
     room_bytes: 10_000,
     keep_ms: 4000,
 };
@@ -88,7 +88,7 @@
             Step::Release => {
                 if !self.kept.is_empty() {
                     let (handle, ..) = self.kept.remove(0);
-                    self.batcher.released(&handle);
+                    self.batcher.record_released(&handle);
                 }
             }
             Step::Advance(ms) => self.now += ms,
@@ -111,7 +111,7 @@
         for _ in 0..count {
             self.tickets += 1;
             self.waiting.insert(self.tickets);
-            let item = Waiting {
+            let item = QueuedItem {
                 ticket: self.tickets,
                 group,
                 due: self.now + due,
@@ -121,29 +121,29 @@
                 bytes,
                 domain: if is_near { "a".to_owned() } else { String::new() },
                 near_bytes: 300_000,
-                ..Waiting::default()
+                ..QueuedItem::default()
             };
             self.batcher.offer(self.now, item);
         }
     }
 
     fn check(&mut self, call: &Call) {
-        assert!(!call.pieces.is_empty());
+        assert!(!call.items.is_empty());
         assert!(
-            call.pieces.len() <= SIZES.pieces as usize,
+            call.items.len() <= SIZES.max_items as usize,
             "a call is at most as large as configured"
         );
         assert!(!self.draining.contains(call.target.as_str()), "a draining target gets no call");
         let others = self.running.iter().filter(|it| it.target == call.target).count();
-        assert!(others < SIZES.calls as usize, "concurrent calls to one target are limited");
-        for item in &call.pieces {
+        assert!(others < SIZES.max_calls as usize, "concurrent calls to one target are limited");
+        for item in &call.items {
             assert!(self.waiting.remove(&item.ticket), "an item is in one call at a time");
         }
         let now = self.now;
         let of_target = |target: &str| target == call.target;
         let kept: u64 =
             self.kept.iter().filter(|it| of_target(&it.1) && now <= it.3).map(|it| it.2).sum();
-        let needed: u64 = call.pieces.iter().map(|it| it.bytes).sum();
+        let needed: u64 = call.items.iter().map(|it| it.bytes).sum();
         assert!(kept + needed <= SIZES.room_bytes, "results fit into the target's room");
     }
 
@@ -153,17 +153,17 @@
         }
         let call = self.running.remove(0);
         let handles: Vec<String> =
-            call.pieces.iter().map(|it| format!("{}/{}", call.target, it.ticket)).collect();
+            call.items.iter().map(|it| format!("{}/{}", call.target, it.ticket)).collect();
         let (end, results): (CallEnd, Vec<Option<&str>>) = match outcome {
             0 => (CallEnd::Failed, Vec::new()),
             1 => (CallEnd::Full, Vec::new()),
             2 => (CallEnd::Answered(300), vec![None; handles.len()]),
             _ => (CallEnd::Answered(300), handles.iter().map(|it| Some(it.as_str())).collect()),
         };
-        self.batcher.ended(self.now, &call, end, &results);
+        self.batcher.record_end(self.now, &call, end, &results);
         if 2 < outcome {
             let until = self.now + SIZES.keep_ms;
-            for (handle, item) in handles.into_iter().zip(&call.pieces) {
+            for (handle, item) in handles.into_iter().zip(&call.items) {
                 self.kept.push((handle, call.target.clone(), item.bytes, until));
             }
         }
@@ -198,15 +198,15 @@
     }
 }
 
-fn item(ticket: u64, group: u64, due: u64) -> Waiting {
-    Waiting {
+fn item(ticket: u64, group: u64, due: u64) -> QueuedItem {
+    QueuedItem {
         ticket,
         group,
         due,
         deadline: 90_000,
         late_due: 90_000,
         bytes: 1,
-        ..Waiting::default()
+        ..QueuedItem::default()
     }
 }
 
@@ -217,7 +217,7 @@
 }
 
 fn tickets(call: &Call) -> Vec<u64> {
-    call.pieces.iter().map(|it| it.ticket).collect()
+    call.items.iter().map(|it| it.ticket).collect()
 }
 
 #[test]
@@ -255,15 +255,15 @@
         batcher.offer(1000, item(ticket, 1, 3000));
     }
     let call = batcher.next(1000).unwrap();
-    assert_eq!(call.pieces.len(), 6);
-    batcher.ended(1300, &call, CallEnd::Answered(300), &[None; 6]);
-    assert_eq!(batcher.next(1300).unwrap().pieces.len(), 3);
+    assert_eq!(call.items.len(), 6);
+    batcher.record_end(1300, &call, CallEnd::Answered(300), &[None; 6]);
+    assert_eq!(batcher.next(1300).unwrap().items.len(), 3);
 }
 
 #[test]
 fn a_large_result_waits_for_a_near_target_while_there_is_time() {
     let mut batcher = batcher(&[("far", "b"), ("near", "a")]);
-    let large = |ticket, due| Waiting {
+    let large = |ticket, due| QueuedItem {
         domain: "a".to_owned(),
         near_bytes: 1_500_000,
         ..item(ticket, ticket, due)
@@ -279,7 +279,7 @@
 #[test]
 fn a_large_result_waits_for_a_near_target_that_is_free_in_time_however_soon_it_is_due() {
     let mut batcher = batcher(&[("far", "b"), ("near", "a")]);
-    let large = |ticket, due| Waiting {
+    let large = |ticket, due| QueuedItem {
         domain: "a".to_owned(),
         near_bytes: 480_000,
         ..item(ticket, ticket, due)
@@ -291,7 +291,7 @@
     // data between domains.
     batcher.offer(1180, large(2, 1500));
     assert_eq!(batcher.next(1180), None);
-    batcher.ended(1220, &call, CallEnd::Answered(220), &[Some("h")]);
+    batcher.record_end(1220, &call, CallEnd::Answered(220), &[Some("h")]);
     assert_eq!(batcher.next(1220).unwrap().target, "near");
     batcher.offer(1230, large(3, 1660));
     assert_eq!(batcher.next(1230).unwrap().target, "far", "the near target would be late");
@@ -300,8 +300,8 @@
 #[test]
 fn a_late_item_expires_once_it_cannot_meet_its_deadline() {
     let mut batcher = batcher(&[("t", "a")]);
-    batcher.offer(1000, Waiting { deadline: 3000, late_due: 2500, ..item(1, 1, 1100) });
-    batcher.offer(1000, Waiting { deadline: 10_000, ..item(2, 2, 9000) });
+    batcher.offer(1000, QueuedItem { deadline: 3000, late_due: 2500, ..item(1, 1, 1100) });
+    batcher.offer(1000, QueuedItem { deadline: 10_000, ..item(2, 2, 9000) });
     assert_eq!(batcher.expire(2780), Vec::<u64>::new(), "a call with this item alone takes 220 ms");
     assert_eq!(batcher.expire(2781), [1]);
 }
@@ -313,7 +313,7 @@
         batcher.offer(1000, item(ticket, ticket, 1900));
     }
     for ticket in 20..23 {
-        batcher.offer(1000, Waiting { deadline: 1900, ..item(ticket, 20, 1950) });
+        batcher.offer(1000, QueuedItem { deadline: 1900, ..item(ticket, 20, 1950) });
     }
     assert_eq!(batcher.expire(1000), [20, 21, 22], "two calls of 320 ms go first");
     assert_eq!(batcher.waiting(), 12);
@@ -321,14 +321,14 @@
 
 #[test]
 fn late_items_follow_those_in_time_by_late_due_time_or_input_expiry() {
-    let late = |ticket, late_due| Waiting { late_due, ..item(ticket, ticket, 1100) };
+    let late = |ticket, late_due| QueuedItem { late_due, ..item(ticket, ticket, 1100) };
     let mut batcher = batcher(&[("t", "a")]);
     batcher.offer(1000, late(5, 4200));
     batcher.offer(1000, late(1, 4000));
-    batcher.offer(1000, Waiting { inputs_until: Some(3000), ..late(6, 8000) });
+    batcher.offer(1000, QueuedItem { inputs_until: Some(3000), ..late(6, 8000) });
     batcher.offer(1000, item(2, 2, 3900));
     batcher.offer(1000, item(3, 3, 4100));
-    batcher.offer(1000, Waiting { inputs_until: Some(1500), ..item(4, 4, 9000) });
+    batcher.offer(1000, QueuedItem { inputs_until: Some(1500), ..item(4, 4, 9000) });
     assert_eq!(tickets(&batcher.next(1000).unwrap()), [4, 2, 3, 6, 1, 5]);
 }
 
@@ -356,7 +356,7 @@
     for ticket in 0..12 {
         batcher.offer(1000, item(ticket, ticket, 2000));
     }
-    let delays: Vec<u64> = (0..4).map(|_| batcher.return_ms(1000, 2001, 3)).collect();
+    let delays: Vec<u64> = (0..4).map(|_| batcher.retry_after_ms(1000, 2001, 3)).collect();
     assert!(delays.is_sorted_by(|previous, next| previous + 150 <= *next), "{delays:?}");
 }
 
@@ -365,8 +365,8 @@
     let mut batcher = batcher(&[("t", "a")]);
     batcher.offer(1000, item(1, 1, 3000));
     let call = batcher.next(1000).unwrap();
-    batcher.ended(1220, &call, CallEnd::Answered(220), &[None]);
-    batcher.no_room(1220, "t");
+    batcher.record_end(1220, &call, CallEnd::Answered(220), &[None]);
+    batcher.record_no_room(1220, "t");
     batcher.offer(1220, item(2, 2, 3000));
     assert_eq!(batcher.next(1400), None);
     assert!(batcher.next(1600).is_some());
@@ -380,8 +380,8 @@
     let mut call_at = |now: u64, reported: u32| {
         batcher.offer(now, item(now, now, now + 900));
         let call = batcher.next(now).unwrap();
-        batcher.told_load(now + 220, "t-0", Load { running: reported, ..Load::default() }, 1);
-        batcher.ended(now + 220, &call, CallEnd::Answered(220), &[None]);
+        batcher.record_load(now + 220, "t-0", Load { running: reported, ..Load::default() }, 1);
+        batcher.record_end(now + 220, &call, CallEnd::Answered(220), &[None]);
         call.is_shared
     };
     assert!(!call_at(1000, 0));
@@ -395,9 +395,9 @@
     let after =
         |stages: &[usize]| StageStep { service: String::new(), after: stages.to_vec(), bytes: 0 };
     let graph = StageGraph::new(&[after(&[]), after(&[0]), after(&[1])], &[1, 1, 1]);
-    assert_eq!(graph.lost_before(2, |_| true), [1]);
-    assert_eq!(graph.lost_before(2, |it| it != 0), [1, 0]);
-    assert_eq!(graph.lost_before(1, |_| false), [0]);
+    assert_eq!(graph.stages_to_redo(2, |_| true), [1]);
+    assert_eq!(graph.stages_to_redo(2, |it| it != 0), [1, 0]);
+    assert_eq!(graph.stages_to_redo(1, |_| false), [0]);
 }
 
 /// Guards against calls to a slow target that time out and are repeated for as long as it is slow.
@@ -411,14 +411,14 @@
             batcher.offer(now, item(now + ticket, ticket / 6, now + 9000));
         }
         for call in [batcher.next(now).unwrap(), batcher.next(now).unwrap()] {
-            let timeout_ms = batcher.patience_ms(now, &call.target, call.pieces.len());
+            let timeout_ms = batcher.timeout_ms(now, &call.target, call.items.len());
             let duration_ms = if call.target == "t-0" { 1600 } else { 320 };
             timed_out += u32::from(timeout_ms < duration_ms);
             let end = match timeout_ms < duration_ms {
-                true => CallEnd::Silent(timeout_ms),
+                true => CallEnd::TimedOut(timeout_ms),
                 false => CallEnd::Answered(duration_ms),
             };
-            batcher.ended(now + duration_ms, &call, end, &[None; 6]);
+            batcher.record_end(now + duration_ms, &call, end, &[None; 6]);
         }
     }
     assert!(timed_out <= 2, "{timed_out} calls timed out at a target that is only slow");
@@ -436,36 +436,36 @@
     let before = expected(&batcher, 0);
     let late: Vec<u64> = (0..40).collect();
     late.iter().for_each(|it| batcher.offer(0, item(100 + it, 100 + it, 50)));
-    batcher.ended(3000, &first, CallEnd::Answered(220), &[None]);
+    batcher.record_end(3000, &first, CallEnd::Answered(220), &[None]);
     let mut now = 3000;
     while let Some(call) = batcher.next(now) {
         now += 300;
-        batcher.ended(now, &call, CallEnd::Answered(300), &[None; 6]);
+        batcher.record_end(now, &call, CallEnd::Answered(300), &[None; 6]);
     }
     batcher.offer(now, item(3, 3, now + 5000));
     let busy = batcher.next(now).unwrap();
     batcher.offer(now, item(4, 4, now + 5000));
     assert_eq!(expected(&batcher, now), before, "late items changed the expected time");
-    batcher.ended(now, &busy, CallEnd::Answered(220), &[None]);
+    batcher.record_end(now, &busy, CallEnd::Answered(220), &[None]);
 }
 
 /// Guards against results of a former incarnation that occupy room at a restarted target.
 #[test]
 fn results_of_a_former_incarnation_take_no_room() {
     let mut batcher = batcher(&[("t", "a")]);
-    batcher.set_sizes(Sizes { room_bytes: 4, ..SIZES });
-    batcher.offer(1000, Waiting { bytes: 3, ..item(1, 1, 3000) });
+    batcher.set_sizes(CallProfile { room_bytes: 4, ..SIZES });
+    batcher.offer(1000, QueuedItem { bytes: 3, ..item(1, 1, 3000) });
     let call = batcher.next(1000).unwrap();
-    batcher.ended(1200, &call, CallEnd::Answered(200), &[Some("t/1")]);
+    batcher.record_end(1200, &call, CallEnd::Answered(200), &[Some("t/1")]);
     batcher.set_targets(std::iter::empty());
     batcher.set_targets([("t", "a", false)].into_iter());
     for ticket in 2..4 {
-        batcher.offer(1300, Waiting { bytes: 3, ..item(ticket, ticket, 4000) });
+        batcher.offer(1300, QueuedItem { bytes: 3, ..item(ticket, ticket, 4000) });
     }
     let call = batcher.next(1300).unwrap();
     assert_eq!(call.used_bytes, 3, "only results of this incarnation count");
-    batcher.ended(1500, &call, CallEnd::Answered(200), &[Some("t/2")]);
-    batcher.released("t/1");
+    batcher.record_end(1500, &call, CallEnd::Answered(200), &[Some("t/2")]);
+    batcher.record_released("t/1");
     assert!(
         batcher.next(1700).is_none(),
         "releasing a result of the former incarnation frees no room"
@@ -480,16 +480,16 @@
         [(1, 1, false), (2, 2, true), (3, 2, true), (4, 3, false), (5, 4, true)]
     {
         let due = 3000 + ticket;
-        batcher.offer(1000, Waiting { is_alone, ..item(ticket, group, due) });
+        batcher.offer(1000, QueuedItem { is_isolated: is_alone, ..item(ticket, group, due) });
     }
     let mut calls = Vec::new();
     let mut now = 1000;
     while let Some(call) = batcher.next(now) {
         calls.push(tickets(&call));
-        let results: Vec<String> = call.pieces.iter().map(|it| it.ticket.to_string()).collect();
+        let results: Vec<String> = call.items.iter().map(|it| it.ticket.to_string()).collect();
         let results: Vec<Option<&str>> = results.iter().map(|it| Some(it.as_str())).collect();
         now += 200;
-        batcher.ended(now, &call, CallEnd::Answered(200), &results);
+        batcher.record_end(now, &call, CallEnd::Answered(200), &results);
         now += 200;
     }
     assert_eq!(calls, [vec![1, 4], vec![2, 3], vec![5]]);
--- a/crates/holdpoint-core/tests/claims.rs
+++ b/crates/holdpoint-core/tests/claims.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use holdpoint_core::claims::{BadKey, ClaimTable, Claimant, Standing, check_key, stream_of};
+use holdpoint_core::claims::{BadKey, ClaimStatus, ClaimTable, Claimant, check_key, stream_of};
 use holdpoint_schema::records::{
     ClaimBody, ClaimEntry, ClaimKey, ClaimOutcome, ClaimRelease, ClaimStep,
 };
@@ -97,8 +97,8 @@
     table
 }
 
-fn standing(state: &State, read: usize, call: usize, faults: Faults) -> Standing {
-    table(&state.log[..read], faults).standing(&key(), "h", &claimant(call))
+fn standing(state: &State, read: usize, call: usize, faults: Faults) -> ClaimStatus {
+    table(&state.log[..read], faults).status(&key(), "h", &claimant(call))
 }
 
 /// All states that one step leads to.
@@ -138,7 +138,7 @@
         });
     }
     for read in call.read + 1..=state.log.len() {
-        let has_won = matches!(standing(state, read, index, faults), Standing::Won(_));
+        let has_won = matches!(standing(state, read, index, faults), ClaimStatus::Won(_));
         let may_win = call.phase == Phase::Claiming
             || (faults.sends_after_giving_up && call.phase == Phase::GaveUp);
         push(&|it| {
@@ -167,7 +167,7 @@
     // Another call sees this one's claim and declares its instance gone, rightly or wrongly.
     let is_held = matches!(
         standing(state, state.log.len(), usize::MAX, faults),
-        Standing::Held(it) if it == claimant(index)
+        ClaimStatus::Held(it) if it == claimant(index)
     );
     if has_room && is_held && !state.is_declared_gone {
         let kind = if faults.takes_over { Kind::Release } else { Kind::Gone };
@@ -185,14 +185,14 @@
         return Some("sent twice");
     }
     let done = standing(state, state.log.len(), usize::MAX, faults);
-    if let Standing::Done(answer) = &done {
+    if let ClaimStatus::Done(answer) = &done {
         let holder = state.calls.iter().position(|it| it.phase == Phase::Sent);
         if holder.map(|it| format!("a{it}")).as_ref() != Some(answer) {
             return Some("an answer of a call that was not sent");
         }
     }
     // The key of a sent call must not appear free to others, or it could be claimed again.
-    let is_shown_free = done == Standing::Free && !state.is_expired;
+    let is_shown_free = done == ClaimStatus::Free && !state.is_expired;
     (sent == 1 && is_shown_free).then_some("a sent call's key is free")
 }
 
@@ -247,7 +247,7 @@
     assert_eq!(table.len(), 1);
     table.apply(2, KEY_TIME_MS + WINDOW_MS + 1, &[entry(1, Kind::Claim)]);
     assert!(table.is_empty(), "the first claim is dropped and the second is void");
-    assert_eq!(table.standing(&key(), "h", &claimant(1)), Standing::Free);
+    assert_eq!(table.status(&key(), "h", &claimant(1)), ClaimStatus::Free);
 }
 
 #[test]
@@ -255,9 +255,9 @@
     let mut table = ClaimTable::new(WINDOW_MS);
     table.apply(1, KEY_TIME_MS, &[entry(0, Kind::Release)]);
     table.apply(2, KEY_TIME_MS, &[entry(0, Kind::Claim)]);
-    assert_eq!(table.standing(&key(), "h", &claimant(0)), Standing::Free);
+    assert_eq!(table.status(&key(), "h", &claimant(0)), ClaimStatus::Free);
     table.apply(3, KEY_TIME_MS, &[entry(1, Kind::Claim)]);
-    assert_eq!(table.standing(&key(), "h", &claimant(1)), Standing::Won(3));
+    assert_eq!(table.status(&key(), "h", &claimant(1)), ClaimStatus::Won(3));
 }
 
 #[test]
@@ -266,12 +266,12 @@
     table.apply(1, KEY_TIME_MS, &[entry(0, Kind::Claim)]);
     // Call 1 has learned that call 0 holds the key; its own claim is still in flight.
     table.apply(2, KEY_TIME_MS, &[entry(1, Kind::Release)]);
-    assert_eq!(table.standing(&key(), "h", &claimant(2)), Standing::Held(claimant(0)));
+    assert_eq!(table.status(&key(), "h", &claimant(2)), ClaimStatus::Held(claimant(0)));
     table.apply(3, KEY_TIME_MS, &[entry(0, Kind::Release)]);
     table.apply(4, KEY_TIME_MS, &[entry(1, Kind::Claim)]);
     assert_eq!(
-        table.standing(&key(), "h", &claimant(2)),
-        Standing::Free,
+        table.status(&key(), "h", &claimant(2)),
+        ClaimStatus::Free,
         "the key can be claimed again"
     );
 }
@@ -280,8 +280,8 @@
 fn another_body_is_a_mismatch() {
     let mut table = ClaimTable::new(WINDOW_MS);
     table.apply(1, KEY_TIME_MS, &[entry(0, Kind::Claim)]);
-    assert_eq!(table.standing(&key(), "other", &claimant(1)), Standing::Mismatch);
-    assert_eq!(table.standing(&key(), "h", &claimant(1)), Standing::Held(claimant(0)));
+    assert_eq!(table.status(&key(), "other", &claimant(1)), ClaimStatus::Mismatch);
+    assert_eq!(table.status(&key(), "h", &claimant(1)), ClaimStatus::Held(claimant(0)));
 }
 
 #[test]
@@ -306,6 +306,6 @@
     other.organisation = "o2".into();
     let mut table = ClaimTable::new(WINDOW_MS);
     table.apply(1, KEY_TIME_MS, &[entry(0, Kind::Claim)]);
-    assert_eq!(table.standing(&other, "h", &claimant(1)), Standing::Free);
+    assert_eq!(table.status(&other, "h", &claimant(1)), ClaimStatus::Free);
     assert_eq!(stream_of(&key(), 1), 0);
 }
--- a/crates/holdpoint-core/tests/cold.rs
+++ b/crates/holdpoint-core/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Guards against overload of cold targets, by one instance that routes for all or by many that route independently.
 
 use holdpoint_core::{
-    cold::{Credits, Share},
+    cold::{ColdBucket, Share},
     directory::{Change, Directory, TargetInstance},
     ids::Millis,
     route::{Call, Member, NoTarget, Router},
@@ -32,8 +32,8 @@
     let member = |it: usize| Member {
         address: format!("t{it}"),
         domain: format!("d{}", it % 2),
-        leaving: false,
-        held: false,
+        is_draining: false,
+        is_evacuated: false,
     };
     router.set_members(&(0..targets).map(member).collect::<Vec<_>>());
     router.set_cold_rate(COLD_RATE_PER_S);
@@ -79,7 +79,7 @@
         gaps in prop::collection::vec(0..400_u64, 1..300),
         fill in 0.0..1.0,
     ) {
-        let mut credits = Credits::default();
+        let mut credits = ColdBucket::default();
         credits.set_cold(0, 20_000, fill);
         let (mut now, mut times) = (0, Vec::new());
         for gap in gaps {
@@ -94,12 +94,12 @@
 
     #[test]
     fn a_credit_is_available_after_the_returned_wait(at in 0..900_u64, fill in 0.0..1.0) {
-        let mut credits = Credits::default();
+        let mut credits = ColdBucket::default();
         credits.set_cold(0, 100_000, fill);
-        credits.spend(at, COLD_RATE_PER_S, Share::Of(3));
-        let wait = credits.wait_ms(at, COLD_RATE_PER_S, Share::Of(3));
+        credits.spend(at, COLD_RATE_PER_S, Share::OneOf(3));
+        let wait = credits.wait_ms(at, COLD_RATE_PER_S, Share::OneOf(3));
         prop_assert!(0 < wait);
-        prop_assert_eq!(credits.wait_ms(at + wait, COLD_RATE_PER_S, Share::Of(3)), 0);
+        prop_assert_eq!(credits.wait_ms(at + wait, COLD_RATE_PER_S, Share::OneOf(3)), 0);
     }
 }
 
@@ -115,7 +115,7 @@
     let mut times = Vec::new();
     for now in 0..30_000 {
         let instance = rng.random_range(0..INSTANCES);
-        let share = Share::Of(INSTANCES);
+        let share = Share::OneOf(INSTANCES);
         let chosen =
             choose(&mut routers[instance], now, share, &mut rng).expect("two targets are warm");
         if chosen == "t0" {
@@ -152,8 +152,8 @@
         let member = |it: usize| Member {
             address: format!("t{it}"),
             domain: format!("d{it}"),
-            leaving: false,
-            held: is_evacuated && it == 0,
+            is_draining: false,
+            is_evacuated: is_evacuated && it == 0,
         };
         (0..2).map(member).collect::<Vec<_>>()
     };
@@ -165,12 +165,12 @@
         assert_eq!(chosen.address, "t1");
     }
     router.set_members(&members(false));
-    router.ended(1, "t0", 1.0, holdpoint_core::route::End::Dropped);
+    router.ended(1, "t0", 1.0, holdpoint_core::route::CallOutcome::Cancelled);
     let predicted = Policy { route: Route::Predicted, ..policy() };
     let chosen = router.choose(1, &predicted, &with_prefix, &mut rng).unwrap();
     assert_eq!((chosen.address.as_str(), chosen.reason.prefix_hit), ("t0", true));
     let all: Vec<Member> =
-        members(true).into_iter().map(|it| Member { held: true, ..it }).collect();
+        members(true).into_iter().map(|it| Member { is_evacuated: true, ..it }).collect();
     router.set_members(&all);
     let none = router.choose(2, &policy(), &with_prefix, &mut rng);
     assert_eq!(none.map(|it| it.address), Err(NoTarget::Evacuated));
@@ -183,7 +183,7 @@
         address: "10.0.0.1:80".to_owned(),
         domain: "a".to_owned(),
         slots: 1,
-        is_leaving: false,
+        is_draining: false,
         sequence,
         born: None,
         cold_left_ms,
@@ -218,7 +218,7 @@
 fn a_possibly_outdated_entry_does_not_end_a_cold_time_set_locally() {
     let mut directory = Directory::default();
     directory.put(0, entry(1, Some(0)));
-    directory.hold_cold(1000, "i", 3000);
+    directory.assume_cold(1000, "i", 3000);
     directory.put(1100, entry(2, Some(0)));
     assert_eq!(directory.cold_left(1100, "i"), 2900);
     directory.put(1200, entry(3, None));
--- a/crates/holdpoint-core/tests/confinement.rs
+++ b/crates/holdpoint-core/tests/confinement.rs
@@ -9,8 +9,8 @@
     cold::Share,
     confinement::{Confinement, Within},
     ids::Name,
-    ingress::{CallerLimits, Configuration, IngressRoute, Repeat, Shape, Tenancy},
-    pieces::{CallEnd, Sizes, Waiting},
+    ingress::{CallerLimits, Configuration, IngressRoute, Repeat, ResponseKind, Tenancy},
+    pieces::{CallEnd, CallProfile, QueuedItem},
     regions::ServiceRegions,
     route::Router,
     topology::Topology,
@@ -22,8 +22,14 @@
 
 const REGIONS: [&str; 4] = ["east", "north", "south", ""];
 const NAMED: [&str; 4] = ["east", "north", "south", "nobody-knows"];
-const SIZES: Sizes =
-    Sizes { calls: 2, pieces: 4, call_ms: 100.0, piece_ms: 1.0, room_bytes: 0, keep_ms: 1000 };
+const SIZES: CallProfile = CallProfile {
+    max_calls: 2,
+    max_items: 4,
+    call_ms: 100.0,
+    item_ms: 1.0,
+    room_bytes: 0,
+    keep_ms: 1000,
+};
 
 /// Domains `d0` to `d5`; a domain without an entry has no region.
 fn topology() -> impl Strategy<Value = Topology> {
@@ -111,8 +117,8 @@
         let members: Vec<Member> = places.iter().enumerate().map(|(at, (domain, is_draining, is_evacuated))| Member {
             address: format!("t{at}"),
             domain: format!("d{domain}"),
-            leaving: *is_draining,
-            held: *is_evacuated,
+            is_draining: *is_draining,
+            is_evacuated: *is_evacuated,
         }).collect();
         let policy = policy(route);
         let mut router = Router::new("i", "d0", policy.clone());
@@ -120,7 +126,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let within = confinement.bounds(&topology);
         let is_open = |it: &&Member| {
-            !it.leaving && !it.held && allows(&confinement, &topology, &it.domain)
+            !it.is_draining && !it.is_evacuated && allows(&confinement, &topology, &it.domain)
         };
         let open: BTreeSet<&str> = members.iter().filter(is_open).map(|it| it.address.as_str()).collect();
         let mut tried = Vec::new();
@@ -153,7 +159,7 @@
         batcher.set_targets(targets.iter().map(|it| (it.0.as_str(), it.1.as_str(), it.2)));
         let is_fallback = |at: usize| places[at].1 && places[at].2;
         let fallbacks = || (0..places.len()).filter(|it| is_fallback(*it));
-        batcher.set_spare(fallbacks().map(|it| targets[it].0.as_str()));
+        batcher.set_fallback(fallbacks().map(|it| targets[it].0.as_str()));
         let has_open = |it: &Confinement| {
             targets.iter().any(|(_, domain, is_draining)| !is_draining && allows(it, &topology, domain))
         };
@@ -163,8 +169,8 @@
         let can_process = |it: &Confinement| has_open(it) || has_fallback(it);
         for (ticket, (confinement, domain, is_large)) in items.iter().enumerate() {
             let within = confinement.bounds(&topology);
-            prop_assert_eq!(batcher.can_make(within.as_deref()), can_process(confinement));
-            batcher.offer(1000, Waiting {
+            prop_assert_eq!(batcher.can_process(within.as_deref()), can_process(confinement));
+            batcher.offer(1000, QueuedItem {
                 ticket: ticket as u64,
                 group: ticket as u64,
                 due: 2000,
@@ -173,10 +179,10 @@
                 domain: format!("d{domain}"),
                 near_bytes: if *is_large { 900_000 } else { 0 },
                 within,
-                ..Waiting::default()
+                ..QueuedItem::default()
             });
         }
-        let unplaceable = batcher.take_stranded();
+        let unplaceable = batcher.take_unplaceable();
         for ticket in &unplaceable {
             let confinement = &items[*ticket as usize].0;
             prop_assert!(!confinement.is_free() && !can_process(confinement));
@@ -185,7 +191,7 @@
         for _ in 0..200 {
             while let Some(call) = batcher.next(now) {
                 let at = targets.iter().position(|it| it.0 == call.target).unwrap();
-                for item in &call.pieces {
+                for item in &call.items {
                     let confinement = &items[item.ticket as usize].0;
                     prop_assert!(allows(confinement, &topology, &targets[at].1));
                     prop_assert!(
@@ -195,7 +201,7 @@
                     prop_assert!(!is_fallback(at) || !has_open(confinement));
                 }
                 now += 100;
-                batcher.ended(now, &call, CallEnd::Answered(100), &vec![None; call.pieces.len()]);
+                batcher.record_end(now, &call, CallEnd::Answered(100), &vec![None; call.items.len()]);
             }
             now += 100;
         }
@@ -233,9 +239,9 @@
         prefix: "/".to_owned(),
         services: vec![("s".to_owned(), 1)],
         repeat: Repeat::Free,
-        shape: Shape::Whole,
+        response: ResponseKind::Whole,
         timeout_ms: 1000,
-        target_ms: 500,
+        objective_ms: 500,
         rank: 1,
         attempts: 2,
         stages: Vec::new(),
--- a/crates/holdpoint-core/tests/estimate.rs
+++ b/crates/holdpoint-core/tests/estimate.rs
@@ -3,14 +3,14 @@
 
 use holdpoint_core::{
     batcher::Batcher,
-    pieces::{CallEnd, Sizes, Waiting},
+    pieces::{CallEnd, CallProfile, QueuedItem},
 };
 
-const SIZES: Sizes = Sizes {
-    calls: 1,
-    pieces: 4,
+const SIZES: CallProfile = CallProfile {
+    max_calls: 1,
+    max_items: 4,
     call_ms: 10.0,
-    piece_ms: 1.0,
+    item_ms: 1.0,
     room_bytes: 1_000_000,
     keep_ms: 1000,
 };
@@ -21,19 +21,19 @@
     batcher
 }
 
-fn item(ticket: u64, now: u64, due: u64) -> Waiting {
+fn item(ticket: u64, now: u64, due: u64) -> QueuedItem {
     let (late_due, deadline) = (now + 4000, now + 5000);
-    Waiting { ticket, group: ticket, due, late_due, deadline, bytes: 1, ..Waiting::default() }
+    QueuedItem { ticket, group: ticket, due, late_due, deadline, bytes: 1, ..QueuedItem::default() }
 }
 
 /// Runs one call of the waiting items, which is answered after 12 ms.
 fn run_call(batcher: &mut Batcher, now: u64) {
     let call = batcher.next(now).expect("an item waits");
-    batcher.judge(now + 12, &call, 12);
-    let handles: Vec<String> = call.pieces.iter().map(|it| format!("h-{}", it.ticket)).collect();
+    batcher.record_duration(now + 12, &call, 12);
+    let handles: Vec<String> = call.items.iter().map(|it| format!("h-{}", it.ticket)).collect();
     let handles: Vec<Option<&str>> = handles.iter().map(|it| Some(it.as_str())).collect();
-    batcher.ended(now + 12, &call, CallEnd::Answered(12), &handles);
-    handles.iter().flatten().for_each(|it| batcher.released(it));
+    batcher.record_end(now + 12, &call, CallEnd::Answered(12), &handles);
+    handles.iter().flatten().for_each(|it| batcher.record_released(it));
 }
 
 #[test]
@@ -63,7 +63,7 @@
     let mut times = Vec::new();
     for round in 0..6000 {
         let now = 1000 + round * 3;
-        times.push(batcher.return_ms(now, now, 5));
+        times.push(batcher.retry_after_ms(now, now, 5));
     }
     let last = &times[3000..];
     let (least, most) = (last.iter().min().unwrap(), last.iter().max().unwrap());
--- a/crates/holdpoint-core/tests/evacuation.rs
+++ b/crates/holdpoint-core/tests/evacuation.rs
@@ -2,11 +2,11 @@
 //! orders, or falls back to an older one, whichever way it receives updates.
 
 use holdpoint_core::era::Position;
-use holdpoint_core::evacuation::{Evacuations, Horizon, Order};
+use holdpoint_core::evacuation::{Evacuations, LogOffset, Order};
 use proptest::prelude::*;
 
 fn at(offset: u64) -> Position {
-    Position { era: None, offset }
+    Position { epoch: None, offset }
 }
 
 const DOMAINS: [&str; 3] = ["a", "b", "nobody-knows"];
@@ -38,7 +38,7 @@
 }
 
 /// Domains that are evacuated after the first `horizon` records, by reading them one after the other.
-fn state(log: &[Order], horizon: Horizon) -> Vec<&str> {
+fn state(log: &[Order], horizon: LogOffset) -> Vec<&str> {
     let mut evacuated = Vec::new();
     for order in &log[..horizon as usize] {
         evacuated.retain(|it| *it != order.domain);
@@ -51,7 +51,7 @@
 }
 
 /// The newest record of each domain that is evacuated after the first `end` records.
-fn newest(log: &[Order], end: Horizon) -> Vec<Order> {
+fn newest(log: &[Order], end: LogOffset) -> Vec<Order> {
     let evacuated = state(log, end);
     let named = |domain: &str| log[..end as usize].iter().rfind(|it| it.domain == domain).cloned();
     evacuated.into_iter().filter_map(named).collect()
@@ -70,7 +70,7 @@
         let mut instances = vec![Evacuations::default(); 4];
         for step in steps {
             let before = instances.clone();
-            let end = log.len() as Horizon;
+            let end = log.len() as LogOffset;
             let updated = match step {
                 Step::Write { domain, is_evacuated } => {
                     log.push(Order { offset: end, domain: DOMAINS[domain].to_owned(), is_evacuated });
--- a/crates/holdpoint-core/tests/growth.rs
+++ b/crates/holdpoint-core/tests/growth.rs
@@ -7,7 +7,7 @@
     capacity::Capacity,
     catalog::default_policy,
     directory::{Change, Directory, TargetInstance},
-    liveness::{Duty, Use, duty},
+    liveness::{PeerAction, PeerUse, peer_action},
     readers::{DomainSizes, Member as Instance, Role, leaders, plan, sends_configuration},
     route::{Call, Choice, Member, Router},
 };
@@ -23,7 +23,7 @@
 
 fn member(index: usize) -> Member {
     let domain = DOMAINS[index % DOMAINS.len()].to_owned();
-    Member { address: format!("t{index}"), domain, leaving: false, held: false }
+    Member { address: format!("t{index}"), domain, is_draining: false, is_evacuated: false }
 }
 
 fn policy() -> Policy {
@@ -79,13 +79,13 @@
         let mut router = router(size * TARGETS_PER_INSTANCE);
         for prefix in 0..50 {
             let first = choose(&mut router, 0, &prompt(prefix), prefix).address;
-            router.placed(0, &first, &prompt(prefix));
+            router.record_placed(0, &first, &prompt(prefix));
             for again in 1..5 {
                 let now = again * 2_000;
                 let found = choose(&mut router, now, &prompt(prefix), prefix + again);
                 assert_eq!(found.address, first, "prefix {prefix} at {size} instances");
                 assert!(found.reason.prefix_hit);
-                router.placed(now, &found.address, &prompt(prefix));
+                router.record_placed(now, &found.address, &prompt(prefix));
             }
         }
     }
@@ -119,7 +119,7 @@
         address: format!("10.0.0.{}:80", index % 50),
         domain: DOMAINS[index % DOMAINS.len()].into(),
         slots: 1,
-        is_leaving,
+        is_draining: is_leaving,
         sequence,
         cold_left_ms: None,
         born: Some(1),
@@ -133,7 +133,7 @@
         let id = format!("i{index}");
         match index {
             _ if index % 2 == 0 => changed.remove(&id),
-            _ if index % 5 == 0 => changed.leave(&id, None),
+            _ if index % 5 == 0 => changed.mark_draining(&id, None),
             _ if index % 7 == 0 => changed.lapse(&id, 10),
             _ => Change::Nothing,
         };
@@ -193,8 +193,8 @@
             let full_plan = plan(own.name, "", own.domain, &members, &DomainSizes::new());
             let partial_plan = plan(own.name, "", own.domain, &known, &sizes);
             assert_eq!(
-                (partial_plan.role, partial_plan.asked),
-                (full_plan.role, full_plan.asked),
+                (partial_plan.role, partial_plan.upstreams),
+                (full_plan.role, full_plan.upstreams),
                 "{}",
                 own.name
             );
@@ -219,7 +219,7 @@
                 Role::Reader => readers += 1,
                 Role::Relay => relays += 1,
                 Role::Follower => {
-                    let source = plan.asked[0];
+                    let source = plan.upstreams[0];
                     across += usize::from(domain_of[source] != it.domain);
                     *followers.entry(source).or_default() += 1;
                 }
@@ -253,8 +253,8 @@
             }
             let is_due = |it: &&usize| {
                 let calls = usize::from(**it != 0 && now.saturating_sub(**it) < CALL_MS);
-                let its = Use { calls, used: **it as u64, is_standing: false };
-                duty(now as u64, its) == Duty::Ask && **it != 0
+                let its = PeerUse { calls, last_use: **it as u64, is_permanent: false };
+                peer_action(now as u64, its) == PeerAction::Probe && **it != 0
             };
             heartbeats += used.iter().filter(is_due).count();
         }
@@ -265,10 +265,10 @@
     let most = REQUESTS_PER_S * (CALL_MS + 1000) / HEARTBEAT_MS;
     assert!(counts.iter().all(|it| *it <= most), "{counts:?} of {most}");
     assert!(counts[2] <= counts[1] * 5 / 4, "{counts:?}");
-    let idle = Use { calls: 0, used: 1_000, is_standing: false };
-    assert_eq!(duty(20_000, idle), Duty::Rest);
-    assert_eq!(duty(60_000, idle), Duty::Close);
-    assert_eq!(duty(60_000, Use { is_standing: true, ..idle }), Duty::Ask);
+    let idle = PeerUse { calls: 0, last_use: 1_000, is_permanent: false };
+    assert_eq!(peer_action(20_000, idle), PeerAction::Wait);
+    assert_eq!(peer_action(60_000, idle), PeerAction::Close);
+    assert_eq!(peer_action(60_000, PeerUse { is_permanent: true, ..idle }), PeerAction::Probe);
 }
 
 /// Guards against a changed configuration that each instance reads from the store instead of receiving it from its
--- a/crates/holdpoint-core/tests/ingress.rs
+++ b/crates/holdpoint-core/tests/ingress.rs
@@ -12,7 +12,8 @@
     event_split::EventSplitter,
     experiments::Experiments,
     ingress::{
-        CallerLimits, Configuration, Denied, IngressRoute, Repeat, Service, Shape, Tenancy, newer,
+        CallerLimits, Configuration, Denied, IngressRoute, Repeat, ResponseKind, Service, Tenancy,
+        is_newer,
     },
     ledger::Ledger,
     prompt::{Part, Prompt},
@@ -27,9 +28,9 @@
         prefix: prefix.to_owned(),
         services: services.iter().map(|it| (it.0.to_owned(), it.1)).collect(),
         repeat: Repeat::Once,
-        shape: Shape::Whole,
+        response: ResponseKind::Whole,
         timeout_ms: 1000,
-        target_ms: 100,
+        objective_ms: 100,
         rank: 2,
         attempts: 1,
         stages: Vec::new(),
@@ -94,7 +95,7 @@
         address: "10.0.0.1:80".to_owned(),
         domain: "a".to_owned(),
         slots: 1,
-        is_leaving,
+        is_draining: is_leaving,
         sequence,
         born: None,
         cold_left_ms: None,
@@ -123,11 +124,11 @@
     };
     let mut directory = Directory::default();
     assert_eq!(directory.put(0, incarnation(1000, 900, "10.0.0.1:80")), Change::Joined);
-    directory.hold_cold(0, "i", 5000);
-    directory.leave("i", None);
+    directory.assume_cold(0, "i", 5000);
+    directory.mark_draining("i", None);
     assert_eq!(directory.put(1, incarnation(2000, 1, "10.0.0.2:80")), Change::Restarted);
     let found = directory.get("i").unwrap();
-    assert_eq!((found.address.as_str(), found.is_leaving), ("10.0.0.2:80", false));
+    assert_eq!((found.address.as_str(), found.is_draining), ("10.0.0.2:80", false));
     assert_eq!(
         directory.cold_left(1, "i"),
         0,
@@ -164,16 +165,16 @@
         born: Some(born),
         ..entry(sequence, is_leaving)
     };
-    let is_leaving = |it: &Directory| it.get("i").unwrap().is_leaving;
+    let is_leaving = |it: &Directory| it.get("i").unwrap().is_draining;
     let mut directory = Directory::default();
     directory.put(0, incarnation(1000, 5, false));
     assert_eq!(
-        directory.leave("i", Some(900)),
+        directory.mark_draining("i", Some(900)),
         Change::Nothing,
         "an answer of the previous incarnation"
     );
-    assert_eq!(directory.leave("i", Some(1000)), Change::Leaving);
-    assert_eq!(directory.leave("i", Some(1000)), Change::Nothing, "already known");
+    assert_eq!(directory.mark_draining("i", Some(1000)), Change::Leaving);
+    assert_eq!(directory.mark_draining("i", Some(1000)), Change::Nothing, "already known");
     directory.put(1, incarnation(1000, 6, false));
     assert!(is_leaving(&directory), "despite a later entry that says ready");
     directory.remove("i");
@@ -184,7 +185,7 @@
 
     // The notice comes while the entry is missing.
     let mut directory = Directory::default();
-    assert_eq!(directory.leave("i", Some(1000)), Change::Nothing);
+    assert_eq!(directory.mark_draining("i", Some(1000)), Change::Nothing);
     directory.put(0, incarnation(1000, 5, false));
     assert!(is_leaving(&directory));
 
@@ -206,7 +207,7 @@
     let mut budget = SharedBudget::default();
     for now in 0..100 {
         assert!(budget.spend(now, &terms));
-        budget.take_back();
+        budget.refund();
     }
     let spent = (0..100).filter(|it| budget.spend(100 + it, &terms)).count();
     assert_eq!(spent, 3, "60% of the slack");
@@ -221,10 +222,10 @@
             // An older entry counts too: a peer may have the notice from an answer.
             is_draining |= is_leaving;
             directory.put(0, entry(sequence, is_leaving));
-            prop_assert_eq!(directory.get("i").unwrap().is_leaving, is_draining);
+            prop_assert_eq!(directory.get("i").unwrap().is_draining, is_draining);
         }
         directory.replace(0, vec![entry(100, false)]);
-        prop_assert_eq!(directory.get("i").unwrap().is_leaving, is_draining);
+        prop_assert_eq!(directory.get("i").unwrap().is_draining, is_draining);
     }
 
     #[test]
@@ -232,7 +233,7 @@
         let mut in_force = 0;
         for found in versions {
             let before = in_force;
-            if newer(in_force, found) {
+            if is_newer(in_force, found) {
                 in_force = found;
             }
             prop_assert!(before <= in_force && found <= in_force);
@@ -376,7 +377,7 @@
     for id in ["a", "b", "c"] {
         directory.put(0, named(id, 1));
     }
-    directory.leave("c", None);
+    directory.mark_draining("c", None);
     for id in ["a", "b", "c"] {
         directory.lapse(id, 100);
     }
@@ -393,7 +394,7 @@
     one.put(0, entry(1, false));
     other.put(0, entry(7, false));
     assert_eq!(one.digest(), other.digest(), "sequence numbers are ignored");
-    other.leave("i", None);
+    other.mark_draining("i", None);
     assert_ne!(one.digest(), other.digest());
 }
 
@@ -442,7 +443,7 @@
         for max_connections in [1, 51, 2100] {
             let (cold, engine, batches) = (None, None, None);
             let service = Service { name: "s".to_owned(), max_connections, cold, engine, batches };
-            let all = instances * service.at_rest(instances);
+            let all = instances * service.idle_connections(instances);
             assert!(all <= max_connections as usize, "{instances}, {max_connections}: {all}");
             assert!(instances < 8 || max_connections < 2 * 51 || 0 < all);
         }
--- a/crates/holdpoint-core/tests/laws.rs
+++ b/crates/holdpoint-core/tests/laws.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use holdpoint_core::{
-    admit::{Ask, Gate, Offer, Signal},
+    admit::{AdmissionRequest, Gate, Offer, Signal},
     assemble::{Assembler, Progress},
     catalog::default_policy,
     cold::Share,
@@ -13,9 +13,9 @@
     lifecycle::{Event, Lifecycle},
     membership::View,
     retry::RetryBudget,
-    route::{Call, End, Load, Member, NoTarget, Router},
+    route::{Call, CallOutcome, Load, Member, NoTarget, Router},
     subset::{owner, subset},
-    token::{BadToken, Place, TokenKey, open, seal},
+    token::{BadToken, StreamPosition, TokenKey, open, seal},
     trial::{arm_of, wilson},
 };
 use holdpoint_schema::peer::{Member as Instance, Phase};
@@ -34,8 +34,8 @@
         .map(|it| Member {
             address: format!("t{it}"),
             domain: "d".into(),
-            leaving: false,
-            held: false,
+            is_draining: false,
+            is_evacuated: false,
         })
         .collect()
 }
@@ -68,25 +68,25 @@
                 0 | 1 => match router.choose(now, &policy, &call, &mut rng) {
                     Ok(choice) => {
                         let index: usize = choice.address[1..].parse().unwrap();
-                        prop_assert!(!all[index].leaving);
+                        prop_assert!(!all[index].is_draining);
                         prop_assert!(in_flight[index] < 2);
                         router.sent(now, &choice.address, &call);
                         in_flight[index] += 1;
                     }
                     Err(it) => {
-                        let is_full = |it: &Member| it.leaving || in_flight[it.address[1..].parse::<usize>().unwrap()] == 2;
+                        let is_full = |it: &Member| it.is_draining || in_flight[it.address[1..].parse::<usize>().unwrap()] == 2;
                         prop_assert!(it == NoTarget::Empty || all.iter().all(is_full));
                     }
                 },
-                2 if 0 < in_flight[target] && !all[target].leaving => {
+                2 if 0 < in_flight[target] && !all[target].is_draining => {
                     in_flight[target] -= 1;
-                    let end = if now % 3 == 0 { End::Failed } else { End::Whole(5) };
+                    let end = if now % 3 == 0 { CallOutcome::Failed } else { CallOutcome::Completed(5) };
                     router.ended(now, &all[target].address, 1.0, end);
-                    router.report(now, &all[target].address, Load { running: 1, waiting: 0, pace_percent: None });
+                    router.apply_report(now, &all[target].address, Load { running: 1, waiting: 0, pace_percent: None });
                 }
                 3 if now % 5 == 0 => {
-                    all[target].leaving = true;
-                    router.leave(&all[target].address);
+                    all[target].is_draining = true;
+                    router.drain(&all[target].address);
                     router.set_members(&all);
                 }
                 _ => (),
@@ -99,7 +99,7 @@
         let mut budget = RetryBudget::new();
         let mut spent = 0;
         for _ in 0..n {
-            budget.first(percent);
+            budget.record_first(percent);
             // Everything fails, so a retry is wanted every time.
             spent += u32::from(budget.spend());
         }
@@ -119,7 +119,7 @@
             now += more / 10;
             match kind {
                 0 | 1 => {
-                    let ask = Ask { organisation: names[who], share: who as u32 + 1, cap: 20, deadline: now + 400, need: more };
+                    let ask = AdmissionRequest { organisation: names[who], share: who as u32 + 1, cap: 20, deadline: now + 400, service_ms: more };
                     match gate.offer(now, &ask) {
                         Offer::Admit => running.push(who),
                         Offer::Defer(it) => waiting.push((it, who)),
@@ -150,7 +150,7 @@
         let after: Vec<Option<u64>> = later.iter().map(|it| Some(*it)).collect();
         match budget(remaining, Some(own), &after) {
             Budget::Use(it) => prop_assert!(it <= remaining && own <= it),
-            Budget::Hopeless { need } => prop_assert!(remaining <= need),
+            Budget::TooLate { need } => prop_assert!(remaining <= need),
         }
     }
 
@@ -164,7 +164,7 @@
         }
         prop_assert_eq!(assembler.progress(), Progress::Open, "open until the end mark");
         assembler.end(30);
-        prop_assert_eq!(assembler.progress(), Progress::Whole);
+        prop_assert_eq!(assembler.progress(), Progress::Complete);
         prop_assert_eq!(out, (0..30).collect::<Vec<_>>());
     }
 
@@ -244,7 +244,7 @@
     let (mut a, mut b) = (View::new(instance(0), 0), View::new(instance(1), 0));
     b.merge(&a.digest_for(None, 1, None), 0);
     assert!(b.is_live(&instance(0).incarnation));
-    b.bury(10_000, 5000, &[instance(0).peers]);
+    b.stop_silent(10_000, 5000, &[instance(0).peers]);
     assert!(!b.is_live(&instance(0).incarnation), "silent, not listed, watched");
     a.merge(&b.digest_for(Some(&instance(0).incarnation), 1, None), 10_000);
     b.merge(&a.digest_for(Some(&instance(1).incarnation), 1, None), 10_000);
@@ -256,7 +256,7 @@
     let (a, mut b) = (View::new(instance(0), 0), View::new(instance(1), 0));
     b.merge(&a.digest_for(None, 1, None), 0);
     b.set_listed([(instance(0).name, instance(0).peers)].into());
-    b.bury(10_000, 5000, &[instance(0).peers]);
+    b.stop_silent(10_000, 5000, &[instance(0).peers]);
     assert_eq!(b.missing(2), ["entry-0", "entry-1"], "a change has to wait for it");
 }
 
@@ -299,7 +299,7 @@
     };
     for target in ["t0", "t1", "t2"] {
         for _ in 0..3 {
-            router.ended(10, target, 1.0, End::Failed);
+            router.ended(10, target, 1.0, CallOutcome::Failed);
         }
     }
     let chosen: HashSet<String> =
@@ -326,7 +326,7 @@
 
 #[test]
 fn tokens_survive_a_key_rotation_but_no_other_key_or_change() {
-    let place = Place {
+    let place = StreamPosition {
         organisation: "o".into(),
         pipeline: "p".into(),
         request: "r".into(),
@@ -393,7 +393,7 @@
                 };
                 router.sent(index as u64, target, &call);
             }
-            router.report(1, target, Load { running: 40, waiting: 400, pace_percent: None });
+            router.apply_report(1, target, Load { running: 40, waiting: 400, pace_percent: None });
         }
         let call = Call {
             work: 9000.0,
@@ -438,7 +438,7 @@
             within: None,
         };
         let address = router.choose(now, &policy, &call, &mut rng).unwrap().address;
-        router.placed(now, &address, &call);
+        router.record_placed(now, &address, &call);
         address
     };
     let at_once: HashSet<String> = (0..6).map(|it| place(10, it)).collect();
@@ -475,11 +475,11 @@
     for member in members(12) {
         let other = Call { prefix: None, ..call };
         router.sent(1, &member.address, &other);
-        router.ended(1, &member.address, other.work, End::Whole(200));
+        router.ended(1, &member.address, other.work, CallOutcome::Completed(200));
     }
     let mut place = |now: u64| {
         let address = router.choose(now, &policy, &call, &mut rng).unwrap().address;
-        router.placed(now, &address, &call);
+        router.record_placed(now, &address, &call);
         address
     };
     let home = place(10);
--- a/crates/holdpoint-core/tests/limit_worlds.rs
+++ b/crates/holdpoint-core/tests/limit_worlds.rs
@@ -5,7 +5,7 @@
 
 use holdpoint_core::{
     ids::Millis,
-    target_limits::{AnswerSpan, Change, Keeping, LimitNews, NamedLimit, Slot, TargetLimits},
+    target_limits::{AnswerSpan, Change, LimitUpdate, NamedLimit, Ownership, Slot, TargetLimits},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -25,7 +25,7 @@
     Ask {
         from: usize,
         to: usize,
-        known: LimitNews,
+        known: LimitUpdate,
     },
     Slot {
         to: usize,
@@ -43,13 +43,13 @@
     },
     Update {
         to: usize,
-        update: LimitNews,
+        update: LimitUpdate,
     },
     /// An instance learns who owns the rate-limit state, and how certain that is.
     View {
         at: usize,
         owner: usize,
-        keeping: Keeping,
+        keeping: Ownership,
     },
 }
 
@@ -57,7 +57,7 @@
 struct Instance {
     limits: TargetLimits,
     owner: usize,
-    keeping: Keeping,
+    keeping: Ownership,
     is_up: bool,
     /// Whether it is partitioned from the other instances.
     is_partitioned: bool,
@@ -93,7 +93,7 @@
         let instance = Instance {
             limits: TargetLimits::default(),
             owner: 0,
-            keeping: Keeping::Sure,
+            keeping: Ownership::Sole,
             is_up: true,
             is_partitioned: false,
             incarnation: 0,
@@ -147,7 +147,7 @@
             let reached = (0..count).filter(|it| self.reaches(at, *it)).count();
             let is_sure = reached == count;
             let keeping =
-                if is_sure { Keeping::Sure } else { Keeping::Unsure { reached, of: count } };
+                if is_sure { Ownership::Sole } else { Ownership::Contested { reached, of: count } };
             let in_ms = self.rng.random_range(0..VIEW_MS);
             self.post(in_ms, Message::View { at, owner, keeping });
         }
@@ -184,7 +184,7 @@
             return;
         }
         let now = self.now;
-        let Some(known) = limits.news(now, TARGET.0).filter(|it| it.per_s.is_some()) else {
+        let Some(known) = limits.update(now, TARGET.0).filter(|it| it.per_s.is_some()) else {
             return self.send(from);
         };
         let is_closed = limits.allowances(now, TARGET.1, *keeping).any(|it| now < it.closed_until);
@@ -192,7 +192,7 @@
             return;
         }
         if *owner == from {
-            if limits.take(now, TARGET.0, *keeping) == Slot::Taken {
+            if limits.try_acquire(now, TARGET.0, *keeping) == Slot::Taken {
                 self.send(from);
             }
             return;
@@ -209,7 +209,7 @@
 
     /// Sends an update on a change to the instances concerned.
     fn send_update(&mut self, at: usize, change: Change) {
-        let Some(update) = self.instances[at].limits.news(self.now, TARGET.0) else { return };
+        let Some(update) = self.instances[at].limits.update(self.now, TARGET.0) else { return };
         let owner = self.instances[at].owner;
         if owner != at && change != Change::Nothing {
             let in_ms = self.transit_ms();
@@ -255,18 +255,18 @@
             }
             Message::Update { to, update } if !is_lost(self, to) => {
                 let limits = &mut self.instances[to].limits;
-                let change = limits.learn(update.made(now), TARGET, update.per_s);
+                let change = limits.apply(update.answer_span(now), TARGET, update.per_s);
                 if self.instances[to].owner == to {
                     self.send_update(to, change);
                 }
             }
             Message::Ask { from, to, known } if !is_lost(self, to) && self.reaches(from, to) => {
                 let limits = &mut self.instances[to].limits;
-                let change = limits.learn(known.made(now), TARGET, known.per_s);
+                let change = limits.apply(known.answer_span(now), TARGET, known.per_s);
                 let slot = if self.instances[to].owner == to {
                     self.send_update(to, change);
                     let Instance { limits, keeping, .. } = &mut self.instances[to];
-                    limits.take(now, TARGET.0, *keeping)
+                    limits.try_acquire(now, TARGET.0, *keeping)
                 } else {
                     Slot::Refused(250)
                 };
@@ -275,17 +275,17 @@
             }
             Message::Slot { to, slot, asked } if !is_lost(self, to) => match slot {
                 Slot::Taken => self.send(to),
-                Slot::Refused(ms) => self.instances[to].limits.refused(now, TARGET.0, ms),
+                Slot::Refused(ms) => self.instances[to].limits.record_refusal(now, TARGET.0, ms),
                 Slot::Free => {
                     let made = AnswerSpan { sent: asked, received: now };
-                    self.instances[to].limits.learn(made, TARGET, None);
+                    self.instances[to].limits.apply(made, TARGET, None);
                     self.send(to);
                 }
             },
             Message::View { at, owner, keeping } if !is_lost(self, at) => {
                 let instance = &mut self.instances[at];
                 (instance.owner, instance.keeping) = (owner, keeping);
-                instance.limits.keep(now, TARGET.0, owner == at);
+                instance.limits.set_owned(now, TARGET.0, owner == at);
             }
             _ => (),
         }
--- a/crates/holdpoint-core/tests/near_results.rs
+++ b/crates/holdpoint-core/tests/near_results.rs
@@ -3,8 +3,8 @@
 use holdpoint_core::{
     batcher::Batcher,
     cold::Share,
-    pieces::{Call as ItemCall, CallEnd, Sizes, Waiting},
-    route::{Call, End, Member, Router},
+    pieces::{Call as ItemCall, CallEnd, CallProfile, QueuedItem},
+    route::{Call, CallOutcome, Member, Router},
 };
 use holdpoint_schema::resources::{Policy, Route};
 use rand::SeedableRng;
@@ -33,7 +33,7 @@
     for it in members {
         // Each processes 50 tokens per millisecond.
         router.sent(1, &it.address, &prompt(0, &[]));
-        router.ended(1, &it.address, 4000.0, End::Whole(80));
+        router.ended(1, &it.address, 4000.0, CallOutcome::Completed(80));
     }
     router
 }
@@ -82,8 +82,14 @@
 /// Offers a service more work items per millisecond than its targets process, with the inputs of half of them in
 /// each of two failure domains. Returns how many items were processed, and how many of these in the other domain.
 fn surge(targets: &[(&str, &str)], per_ms: f64, ms: u64) -> (usize, usize) {
-    let sizes =
-        Sizes { calls: 1, pieces: 40, call_ms: 150.0, piece_ms: 1.5, room_bytes: 0, keep_ms: 4000 };
+    let sizes = CallProfile {
+        max_calls: 1,
+        max_items: 40,
+        call_ms: 150.0,
+        item_ms: 1.5,
+        room_bytes: 0,
+        keep_ms: 4000,
+    };
     let mut batcher = Batcher::new(sizes);
     batcher.set_targets(targets.iter().map(|it| (it.0, it.1, false)));
     let (mut running, mut offered): (Vec<(u64, ItemCall)>, u64) = (Vec::new(), 0);
@@ -92,7 +98,7 @@
         while (offered as f64) < (now - 1000) as f64 * per_ms {
             offered += 1;
             let due = now + 500;
-            let item = Waiting {
+            let item = QueuedItem {
                 ticket: offered,
                 group: offered,
                 due,
@@ -100,19 +106,19 @@
                 deadline: due + 4000,
                 domain: if offered.is_multiple_of(2) { "a" } else { "b" }.to_owned(),
                 near_bytes: 480_000,
-                ..Waiting::default()
+                ..QueuedItem::default()
             };
             batcher.offer(now, item);
         }
         for (_, call) in running.extract_if(.., |it| it.0 <= now) {
-            let ms = call.sizes.stated_ms(call.pieces.len()) as u64;
-            batcher.ended(now, &call, CallEnd::Answered(ms), &[]);
+            let ms = call.sizes.nominal_ms(call.items.len()) as u64;
+            batcher.record_end(now, &call, CallEnd::Answered(ms), &[]);
         }
         while let Some(call) = batcher.next(now) {
             let domain = targets.iter().find(|it| it.0 == call.target).unwrap().1;
-            processed += call.pieces.len();
-            moved += call.pieces.iter().filter(|it| it.domain != domain).count();
-            running.push((now + call.sizes.stated_ms(call.pieces.len()) as u64, call));
+            processed += call.items.len();
+            moved += call.items.iter().filter(|it| it.domain != domain).count();
+            running.push((now + call.sizes.nominal_ms(call.items.len()) as u64, call));
         }
     }
     (processed, moved)
--- a/crates/holdpoint-core/tests/readers.rs
+++ b/crates/holdpoint-core/tests/readers.rs
@@ -55,7 +55,7 @@
 }
 
 fn follows_other_region(it: &(Member<'_>, Plan<'_>)) -> bool {
-    it.1.asked.first().is_some_and(|asked| region(asked) != it.0.region)
+    it.1.upstreams.first().is_some_and(|asked| region(asked) != it.0.region)
 }
 
 fn with_role<'a>(plans: &[(Member<'a>, Plan<'a>)], role: Role) -> Vec<&'a str> {
@@ -88,7 +88,7 @@
         assert_eq!(heads.len(), 1, "for {count} instances in each region");
         let (head, plan) = heads[0];
         assert_eq!((head.region, plan.role), ("north", Role::Relay));
-        assert!(plan.asked.iter().all(|it| plan.readers.contains(it)));
+        assert!(plan.upstreams.iter().all(|it| plan.readers.contains(it)));
     }
 }
 
@@ -98,13 +98,14 @@
     let plans = fleet.plans(|_| false);
     let head = plans.iter().find(|it| follows_other_region(it)).unwrap().0.name;
     let is_standby = |it: &&(Member<'_>, Plan<'_>)| {
-        it.1.asked.first() == Some(&head) && it.1.asked.iter().any(|it| region(it) == "east")
+        it.1.upstreams.first() == Some(&head)
+            && it.1.upstreams.iter().any(|it| region(it) == "east")
     };
     let standbys: Vec<_> = plans.iter().filter(is_standby).map(|it| it.0.name).collect();
     assert_eq!(standbys.len(), 1);
     let others = plans.iter().filter(|it| it.1.role == Role::Relay && region(it.0.name) == "north");
     for (member, plan) in others.filter(|it| it.0.name != head && it.0.name != standbys[0]) {
-        assert_eq!(plan.asked, [head, standbys[0]], "{}", member.name);
+        assert_eq!(plan.upstreams, [head, standbys[0]], "{}", member.name);
     }
     let after = fleet.plans(|it| it == head);
     let successors: Vec<_> =
@@ -122,7 +123,7 @@
             for _ in 0..3 {
                 let (_, plan) = plans.iter().find(|it| it.0.name == current).unwrap();
                 if plan.role != Role::Reader {
-                    current = plan.asked[0];
+                    current = plan.upstreams[0];
                 }
             }
             assert!(
@@ -163,10 +164,10 @@
         if plan.role != Role::Follower {
             assert_eq!(member.capacity.link_mbps, 200, "{}", member.name);
         }
-        assert!(!plan.asked.is_empty());
+        assert!(!plan.upstreams.is_empty());
     }
     // Each source has about as many followers as any other.
-    let asked = plans.iter().filter(|it| it.1.role == Role::Follower).map(|it| it.1.asked[0]);
+    let asked = plans.iter().filter(|it| it.1.role == Role::Follower).map(|it| it.1.upstreams[0]);
     let asked: Vec<&str> = asked.collect();
     let most = plans.iter().map(|it| asked.iter().filter(|a| **a == it.0.name).count()).max();
     assert!(most < Some(48), "{most:?} follow one source");
@@ -176,14 +177,17 @@
 fn followers_time_out_one_after_the_other() {
     let fleet = two_regions();
     let plans = fleet.plans(|_| false);
-    let mut times: Vec<Millis> =
-        plans.iter().filter(|it| it.1.role == Role::Follower).map(|it| it.1.patience_ms).collect();
+    let mut times: Vec<Millis> = plans
+        .iter()
+        .filter(|it| it.1.role == Role::Follower)
+        .map(|it| it.1.read_delay_ms)
+        .collect();
     times.sort_unstable();
     let in_first_quarter = times.iter().filter(|it| **it < 190).count();
     assert!(in_first_quarter < times.len() / 3, "{in_first_quarter} of {}", times.len());
     assert!(times.iter().all(|it| *it < 1500));
     let small = Fleet::new(&[("east", 6, Some(7))]);
-    assert!(small.plans(|_| false).iter().all(|it| it.1.patience_ms < 30));
+    assert!(small.plans(|_| false).iter().all(|it| it.1.read_delay_ms < 30));
 }
 
 #[test]
@@ -193,6 +197,6 @@
     let rest: Vec<_> = members.iter().filter(|it| it.name != "north-8").copied().collect();
     let own = plan("north-8", "north", "", &rest, &DomainSizes::new());
     assert_eq!(own.role, Role::Follower);
-    assert!(own.asked.iter().all(|it| region(it) == "north") && !own.asked.is_empty());
-    assert_eq!(plan("only", "north", "", &[], &DomainSizes::new()).asked, Vec::<&str>::new());
+    assert!(own.upstreams.iter().all(|it| region(it) == "north") && !own.upstreams.is_empty());
+    assert_eq!(plan("only", "north", "", &[], &DomainSizes::new()).upstreams, Vec::<&str>::new());
 }
--- a/crates/holdpoint-core/tests/regions.rs
+++ b/crates/holdpoint-core/tests/regions.rs
@@ -5,7 +5,7 @@
 use holdpoint_core::{
     cold::Share,
     regions::ServiceRegions,
-    route::{Call, End, Member, Router},
+    route::{Call, CallOutcome, Member, Router},
     topology::Topology,
 };
 use holdpoint_schema::resources::{Policy, Route};
@@ -79,7 +79,12 @@
 }
 
 fn member(address: &str, domain: &str) -> Member {
-    Member { address: address.into(), domain: domain.into(), leaving: false, held: false }
+    Member {
+        address: address.into(),
+        domain: domain.into(),
+        is_draining: false,
+        is_evacuated: false,
+    }
 }
 
 /// A router in the east with targets given by address and failure domain.
@@ -116,7 +121,7 @@
         let choice = router.choose_in(now, &policy(), &prompt(&[]), Some("east"), &mut rng);
         let address = choice.unwrap().address;
         assert_eq!(address, "e1");
-        router.placed(now, &address, &prompt(&[]));
+        router.record_placed(now, &address, &prompt(&[]));
         router.sent(now, &address, &prompt(&[]));
     }
     let choice = router.choose_in(50, &policy(), &prompt(&[]), Some("north"), &mut rng);
@@ -135,8 +140,8 @@
         for (target, ms) in [("e1", 30), ("n1", 90)] {
             router.sent(now, target, &plain());
             let load = holdpoint_core::route::Load { running: 1, waiting: 1, pace_percent: None };
-            router.report(now, target, load);
-            router.ended(now, target, 1.0, End::Whole(ms));
+            router.apply_report(now, target, load);
+            router.ended(now, target, 1.0, CallOutcome::Completed(ms));
         }
     }
     let mut chosen = Vec::new();
