--- a/crates/holdpoint-core/tests/rollout.rs
+++ b/crates/holdpoint-core/tests/rollout.rs
@@ -4,8 +4,8 @@
     era::Position,
     ids::Millis,
     rollout::{
-        Answer, Bound, Input, Judge, Observations, Order, OrderRecord, Orders, Phase, Reason,
-        Rollout, Verdict, is_wanted,
+        Answer, Bound, InstanceReport, Judge, Observations, Order, OrderRecord, Orders, Phase,
+        Reason, Rollout, Verdict, may_spend_permit,
     },
 };
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 
 fn at(offset: u64) -> Position {
-    Position { era: None, offset }
+    Position { epoch: None, offset }
 }
 
 const ROUTES: [&str; 2] = ["issue", "lookup"];
@@ -53,10 +53,10 @@
 fn an_order_from_a_peer_keeps_its_remaining_time() {
     let mut known = Orders::default();
     known.advance(0, Orders::new(1000, at(4), &[ordered(2, "s", "v2")]));
-    let reported = known.told(6000);
+    let reported = known.snapshot(6000);
     // The peer's clock has another origin; later it reads the store, which has no age of the order.
     let mut other = Orders::default();
-    other.advance(0, reported.taken(90_000));
+    other.advance(0, reported.into_orders(90_000));
     assert_eq!(other.get("s").unwrap().until, 97_000);
     other.advance(0, Orders::new(91_000, at(9), &[ordered(2, "s", "v2")]));
     assert_eq!(other.get("s").unwrap().until, 97_000, "the earlier end applies");
@@ -74,13 +74,13 @@
     ) {
         let mut rollout = Rollout::new(0, order(), BOUND, 0);
         rollout.enter(0, Phase::Canary);
-        let mut states = vec![(1_u64, Input { wants: 1, ..Input::default() }, 0_u64); instances];
+        let mut states = vec![(1_u64, InstanceReport { needed_permits: 1, ..InstanceReport::default() }, 0_u64); instances];
         let (mut reached, mut exposed, mut spent) = (0, 0, 0);
         for (at, op) in ops {
             let name = format!("i-{}", at % instances);
             let (incarnation, input, quota) = &mut states[at % instances];
             match op {
-                0 => (*incarnation, *input, *quota) = (*incarnation + 1, Input { wants: 1, ..Input::default() }, 0),
+                0 => (*incarnation, *input, *quota) = (*incarnation + 1, InstanceReport { needed_permits: 1, ..InstanceReport::default() }, 0),
                 1 => {
                     rollout = Rollout::new(0, order(), BOUND, spent);
                     rollout.enter(0, Phase::Canary);
@@ -90,10 +90,10 @@
                     rollout.enter(0, next);
                 }
                 4..30 => {
-                    rollout.tell(0, &name, *incarnation, input.clone());
+                    rollout.record_report(0, &name, *incarnation, input.clone());
                     if let Some(it) = rollout.reserve_due() {
                         spent = it;
-                        rollout.reserved(it);
+                        rollout.confirm_reserve(it);
                     }
                     let given = rollout.quota(&name, *incarnation);
                     // Half of the answers are lost.
@@ -179,7 +179,8 @@
     let mut rollout = Rollout::new(0, order(), BOUND, 0);
     let mut outcome =
         Outcome { phases: vec![Phase::Waiting], reason: None, worst: 0.0, ended: 0, after_bad: 0 };
-    let mut inputs: Vec<Input> = vec![Input { wants: 1, ..Input::default() }; instances];
+    let mut inputs: Vec<InstanceReport> =
+        vec![InstanceReport { needed_permits: 1, ..InstanceReport::default() }; instances];
     let mut received = vec![(Phase::Waiting, 0_u64, Vec::new()); instances];
     let (mut reached, mut exposed, mut bad, mut bad_at) = (0_u64, 0_u64, 0_u64, None);
     let mut recent: Vec<(Millis, bool)> = Vec::new();
@@ -192,7 +193,7 @@
             let (at, route) = (rng.random_range(0..instances), usize::from(rng.random_bool(0.19)));
             let (phase, quota, wanted) = &received[at];
             let is_drawn = match phase {
-                Phase::Canary => is_wanted(wanted, ROUTES[route], rng.random()),
+                Phase::Canary => may_spend_permit(wanted, ROUTES[route], rng.random()),
                 _ => true,
             };
             let has_permit = inputs[at].exposed < *quota && is_drawn;
@@ -241,16 +242,16 @@
             if (now as usize / 10 + at).is_multiple_of(20) {
                 inputs[at].old_running =
                     in_flight.iter().filter(|it| it.1 == at && !it.3).count() as u64;
-                rollout.tell(now, &format!("i-{at}"), 1, inputs[at].clone());
+                rollout.record_report(now, &format!("i-{at}"), 1, inputs[at].clone());
                 let quota = rollout.quota(&format!("i-{at}"), 1);
-                received[at] = (rollout.phase(), quota, rollout.wanted());
+                received[at] = (rollout.phase(), quota, rollout.needed_routes());
             }
         }
         if let Some(it) = rollout.reserve_due().filter(|_| now % 200 == 0) {
-            rollout.reserved(it);
+            rollout.confirm_reserve(it);
         }
         if now % 100 == 0
-            && let Some((phase, reason)) = rollout.next(now, 7, 7)
+            && let Some((phase, reason)) = rollout.due_phase(now, 7, 7)
         {
             rollout.enter(now, phase);
             outcome.phases.push(phase);
@@ -275,12 +276,12 @@
 #[test]
 fn an_unjudged_version_is_rolled_back_before_the_deadline() {
     let mut rollout = Rollout::new(0, order(), BOUND, 0);
-    assert_eq!(rollout.next(0, 0, 7), None);
-    assert_eq!(rollout.next(11_500, 0, 7), Some((Phase::RolledBack, Reason::NoTargets)));
-    assert_eq!(rollout.next(0, 7, 7), Some((Phase::Canary, Reason::Targets)));
+    assert_eq!(rollout.due_phase(0, 0, 7), None);
+    assert_eq!(rollout.due_phase(11_500, 0, 7), Some((Phase::RolledBack, Reason::NoTargets)));
+    assert_eq!(rollout.due_phase(0, 7, 7), Some((Phase::Canary, Reason::Targets)));
     rollout.enter(0, Phase::Canary);
-    assert_eq!(rollout.next(9_500, 7, 7), None);
-    assert_eq!(rollout.next(10_500, 7, 7), Some((Phase::RolledBack, Reason::Unjudged)));
+    assert_eq!(rollout.due_phase(9_500, 7, 7), None);
+    assert_eq!(rollout.due_phase(10_500, 7, 7), Some((Phase::RolledBack, Reason::Unjudged)));
     rollout.enter(10_500, Phase::RolledBack);
     rollout.enter(11_000, Phase::Completed);
     assert_eq!(rollout.phase(), Phase::RolledBack, "a final phase stays");
@@ -289,24 +290,24 @@
 #[test]
 fn a_version_that_all_targets_have_is_completed_without_trial() {
     let mut rollout = Rollout::new(0, order(), BOUND, 0);
-    assert_eq!(rollout.next(0, 7, 0), None, "the list of targets may be incomplete");
-    assert_eq!(rollout.next(1000, 7, 0), Some((Phase::Completed, Reason::InForce)));
+    assert_eq!(rollout.due_phase(0, 7, 0), None, "the list of targets may be incomplete");
+    assert_eq!(rollout.due_phase(1000, 7, 0), Some((Phase::Completed, Reason::InForce)));
     // If targets of the old version were lost, the version is judged like any other.
     let mut rollout = Rollout::new(0, order(), BOUND, 0);
-    assert_eq!(rollout.next(0, 0, 3), None);
-    assert_eq!(rollout.next(1000, 7, 0), Some((Phase::Canary, Reason::Targets)));
+    assert_eq!(rollout.due_phase(0, 0, 3), None);
+    assert_eq!(rollout.due_phase(1000, 7, 0), Some((Phase::Canary, Reason::Targets)));
 }
 
 #[test]
 fn an_answer_counts_once_however_often_it_is_reported() {
     let mut rollout = Rollout::new(0, order(), BOUND, 0);
-    let mut input = Input { reached: 10, exposed: 1, ..Input::default() };
+    let mut input = InstanceReport { reached: 10, exposed: 1, ..InstanceReport::default() };
     input.answers.add("r", true, Answer::Failed);
     for now in 0..20 {
-        rollout.tell(now, "a", 1, input.clone());
+        rollout.record_report(now, "a", 1, input.clone());
     }
     assert_eq!(rollout.answers(), (1, 1));
-    rollout.tell(20, "a", 2, input);
+    rollout.record_report(20, "a", 2, input);
     assert_eq!(rollout.answers(), (2, 2), "another incarnation counts from zero");
 }
 
@@ -315,11 +316,11 @@
     let mut judge = Judge::default();
     let mut observations = Observations::default();
     old.iter().for_each(|it| observations.add("r", false, *it));
-    judge.take(0, &observations);
+    judge.add(0, &observations);
     for (index, answers) in new.chunks(2).enumerate() {
         let mut added = Observations::default();
         answers.iter().for_each(|it| added.add("r", true, *it));
-        judge.take(100 * index as Millis, &added);
+        judge.add(100 * index as Millis, &added);
     }
     judge.verdict()
 }
@@ -330,7 +331,7 @@
     let mut observations = Observations::default();
     (0..100).for_each(|_| observations.add("r", false, Answer::Good(Some(50))));
     (0..6).for_each(|_| observations.add("r", true, Answer::Good(Some(400))));
-    judge.take(0, &observations);
+    judge.add(0, &observations);
     assert_eq!(judge.verdict(), Verdict::Open);
     let fast = [Answer::Good(Some(5)); 60];
     let later = [Answer::Good(Some(25)); 60];
--- a/crates/holdpoint-core/tests/spill.rs
+++ b/crates/holdpoint-core/tests/spill.rs
@@ -3,7 +3,7 @@
 
 use holdpoint_core::{
     ingress::StageStep,
-    spill::{Borrower, LEASE_MS, Lease, Lender, LinkBudget, Prospect, chain_ms},
+    spill::{Borrower, LEASE_MS, Lease, Lender, LinkBudget, SpillEstimate, critical_path_ms},
     stage_graph::StageGraph,
 };
 use proptest::prelude::*;
@@ -81,7 +81,7 @@
 #[test]
 fn an_expired_lease_cannot_be_used() {
     let mut borrower = Borrower::default();
-    borrower.receive(1000, Lease { places: 5, for_ms: LEASE_MS, usual_ms: 200 });
+    borrower.receive(1000, Lease { places: 5, duration_ms: LEASE_MS, usual_ms: 200 });
     assert_eq!(borrower.left(1000 + LEASE_MS - 1), 5);
     assert_eq!(borrower.take(1000 + LEASE_MS, 1), None);
 }
@@ -89,7 +89,7 @@
 #[test]
 fn the_length_of_a_lease_is_bounded() {
     let mut borrower = Borrower::default();
-    borrower.receive(1000, Lease { places: 5, for_ms: u64::MAX, usual_ms: 200 });
+    borrower.receive(1000, Lease { places: 5, duration_ms: u64::MAX, usual_ms: 200 });
     assert_eq!(borrower.left(1000 + LEASE_MS), 0);
 }
 
@@ -101,18 +101,22 @@
     assert_eq!(borrower.wanted(1150), 7);
     assert_eq!(borrower.wanted(2000), 0, "no request waits for it any more");
     assert_eq!(borrower.take(2000, 2), None);
-    borrower.receive(2000, Lease { places: 2, for_ms: LEASE_MS, usual_ms: 150 });
+    borrower.receive(2000, Lease { places: 2, duration_ms: LEASE_MS, usual_ms: 150 });
     assert_eq!(borrower.wanted(2000), 0);
     assert_eq!(borrower.take(2100, 2), Some(150));
 }
 
 #[test]
 fn a_request_spills_only_if_it_meets_its_deadline_there() {
-    let prospect = |left_ms, here_ms, there_ms| Prospect { left_ms, here_ms, there_ms };
-    assert!(prospect(1000, 1500, 800).is_worth_it());
-    assert!(!prospect(1000, 900, 500).is_worth_it(), "in time here");
-    assert!(!prospect(1000, 1500, 1100).is_worth_it(), "late there too");
-    assert!(!prospect(1000, 1050, 1000).is_worth_it(), "gains too little");
+    let prospect = |left_ms, here_ms, there_ms| SpillEstimate {
+        left_ms,
+        local_ms: here_ms,
+        remote_ms: there_ms,
+    };
+    assert!(prospect(1000, 1500, 800).should_spill());
+    assert!(!prospect(1000, 900, 500).should_spill(), "in time here");
+    assert!(!prospect(1000, 1500, 1100).should_spill(), "late there too");
+    assert!(!prospect(1000, 1050, 1000).should_spill(), "gains too little");
 }
 
 #[test]
@@ -121,9 +125,9 @@
         |after: &[usize]| StageStep { service: "s".to_owned(), after: after.to_vec(), bytes: 0 };
     let steps = [step(&[]), step(&[0]), step(&[0]), step(&[1, 2])];
     let ms = |it: usize| [10, 200, 30, 4][it];
-    assert_eq!(chain_ms(&StageGraph::new(&steps, &[1, 1, 1, 1]), &ms), 214);
-    assert_eq!(chain_ms(&StageGraph::new(&steps, &[1, 0, 1, 1]), &ms), 44);
-    assert_eq!(chain_ms(&StageGraph::new(&steps, &[0, 0, 0, 0]), &ms), 0);
+    assert_eq!(critical_path_ms(&StageGraph::new(&steps, &[1, 1, 1, 1]), &ms), 214);
+    assert_eq!(critical_path_ms(&StageGraph::new(&steps, &[1, 0, 1, 1]), &ms), 44);
+    assert_eq!(critical_path_ms(&StageGraph::new(&steps, &[0, 0, 0, 0]), &ms), 0);
 }
 
 proptest! {
--- a/crates/holdpoint-core/tests/support/chain.rs
+++ b/crates/holdpoint-core/tests/support/chain.rs
@@ -6,16 +6,16 @@
 };
 
 use holdpoint_core::{
-    admission::{FirstAsk, Objective, Verdict, decide},
+    admission::{FirstStageRequest, Objective, Verdict, decide},
     batcher::Batcher,
-    pieces::{Call, CallEnd, Sizes, Waiting},
-    promises::{Promises, StageAhead},
+    pieces::{Call, CallEnd, CallProfile, QueuedItem},
+    promises::{AdmittedWork, LaterStage},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 /// Services in the order of their stages: name, number of targets, items per request, limits of calls.
-const STAGES: [(&str, usize, u32, Sizes); 3] = [
+const STAGES: [(&str, usize, u32, CallProfile); 3] = [
     ("first", 18, 1, sizes(14, 9.2)),
     ("second", 15, 8, sizes(66, 1.9)),
     ("third", 21, 16, sizes(96, 1.3)),
@@ -33,8 +33,15 @@
 /// Time at which requests stop arriving.
 const LOAD_END_MS: u64 = 14_000;
 
-const fn sizes(pieces: u32, piece_ms: f64) -> Sizes {
-    Sizes { calls: 1, pieces, call_ms: 150.0, piece_ms, room_bytes: 0, keep_ms: 4000 }
+const fn sizes(pieces: u32, piece_ms: f64) -> CallProfile {
+    CallProfile {
+        max_calls: 1,
+        max_items: pieces,
+        call_ms: 150.0,
+        item_ms: piece_ms,
+        room_bytes: 0,
+        keep_ms: 4000,
+    }
 }
 
 /// Rule by which requests are admitted.
@@ -103,7 +110,7 @@
     late_value: f64,
     now: u64,
     batchers: Vec<Batcher>,
-    promises: Promises,
+    promises: AdmittedWork,
     /// Usual time last reported for each stage, in milliseconds.
     reported_ms: [u64; 3],
     credits: [f64; 3],
@@ -144,7 +151,7 @@
             late_value,
             now: 0,
             batchers: STAGES.iter().map(|it| Batcher::new(it.3)).collect(),
-            promises: Promises::default(),
+            promises: AdmittedWork::default(),
             reported_ms: [200; 3],
             credits: [0.0; 3],
             arrived: HashMap::new(),
@@ -192,7 +199,7 @@
             let active = &self.arrived;
             self.batchers[stage].retain(|it| active.contains_key(&(it / 100)));
             while let Some(call) = self.batchers[stage].next(now) {
-                let ends = now + call.sizes.stated_ms(call.pieces.len()) as u64;
+                let ends = now + call.sizes.nominal_ms(call.items.len()) as u64;
                 self.running.push(Running { stage, call, started: now, ends });
             }
         }
@@ -205,31 +212,31 @@
             // A queue that is processed within one call keeps targets busy.
             let most_waiting = load.per_ms * load.full_ms;
             self.credits[stage] = load.per_ms * REPORT_MS as f64 + most_waiting - load.waiting;
-            assert!(self.promises.told(self.now, service, load));
+            assert!(self.promises.apply_report(self.now, service, load));
         }
     }
 
     fn arrive(&mut self) {
         self.next += 1;
         let request = self.next;
-        let ahead: Vec<StageAhead> = (1..3)
-            .map(|stage| StageAhead {
+        let ahead: Vec<LaterStage> = (1..3)
+            .map(|stage| LaterStage {
                 service: STAGES[stage].0.to_owned(),
-                pieces: STAGES[stage].2,
+                items: STAGES[stage].2,
                 depth: stage as u32,
                 usual_ms: self.reported_ms[stage],
             })
             .collect();
         let later_ms = self.reported_ms[1] + self.reported_ms[2] + FIRST_EVENT_MS;
         let due = (self.now + OBJECTIVE_MS).saturating_sub(later_ms);
-        let query = FirstAsk {
+        let query = FirstStageRequest {
             due,
             late_due: self.now + (DEADLINE_MS - later_ms.min(DEADLINE_MS)) / 3,
-            pieces: 1,
+            items: 1,
             ahead: if self.mode == AdmissionMode::AllStages { &ahead } else { &[] },
             end: self.now + OBJECTIVE_MS - FIRST_EVENT_MS,
             deadline: self.now + DEADLINE_MS - FIRST_EVENT_MS,
-            objective: Objective { late_worth: self.late_value },
+            objective: Objective { late_value: self.late_value },
         };
         let is_covered = self.mode != AdmissionMode::Credits
             || (1..3).all(|it| f64::from(STAGES[it].2) <= self.credits[it]);
@@ -257,13 +264,13 @@
         let due = (arrived + OBJECTIVE_MS).saturating_sub(later_ms);
         self.unfinished.insert((request, stage), count);
         for item in 0..count {
-            let waiting = Waiting {
+            let waiting = QueuedItem {
                 ticket: 100 * request + u64::from(item),
                 group: request,
                 due: if self.late.contains(&request) { self.now } else { due },
                 deadline,
                 late_due: self.now + remaining_ms / (3 - stage as u64),
-                ..Waiting::default()
+                ..QueuedItem::default()
             };
             self.batchers[stage].offer(self.now, waiting);
         }
@@ -271,9 +278,9 @@
 
     fn ended(&mut self, running: Running) {
         let Running { stage, call, started, ends } = running;
-        self.batchers[stage].judge(self.now, &call, ends - started);
-        self.batchers[stage].ended(self.now, &call, CallEnd::Answered(ends - started), &[]);
-        for item in &call.pieces {
+        self.batchers[stage].record_duration(self.now, &call, ends - started);
+        self.batchers[stage].record_end(self.now, &call, CallEnd::Answered(ends - started), &[]);
+        for item in &call.items {
             let unfinished =
                 self.unfinished.get_mut(&(item.group, stage)).expect("the item was offered");
             *unfinished -= 1;
--- a/crates/holdpoint-core/tests/target_limits.rs
+++ b/crates/holdpoint-core/tests/target_limits.rs
@@ -3,7 +3,7 @@
 
 use holdpoint_core::{
     ids::Millis,
-    target_limits::{AnswerSpan, Change, Keeping, NamedLimit, Slot, TargetLimits},
+    target_limits::{AnswerSpan, Change, NamedLimit, Ownership, Slot, TargetLimits},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -40,8 +40,8 @@
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let new_owner = |per_s: f64| {
         let mut limits = TargetLimits::default();
-        limits.learn(AnswerSpan::default(), TARGET, Some(per_s));
-        limits.keep(0, TARGET.0, true);
+        limits.apply(AnswerSpan::default(), TARGET, Some(per_s));
+        limits.set_owned(0, TARGET.0, true);
         limits
     };
     let mut ideal = new_owner(per_s);
@@ -65,9 +65,11 @@
         if !requesters.contains(&at) {
             requesters.push(at);
         }
-        let has_room = ideal.take(now, TARGET.0, Keeping::Sure) == Slot::Taken;
+        let has_room = ideal.try_acquire(now, TARGET.0, Ownership::Sole) == Slot::Taken;
         let is_sent = match strategy {
-            Strategy::SingleOwner => single.take(now, TARGET.0, Keeping::Sure) == Slot::Taken,
+            Strategy::SingleOwner => {
+                single.try_acquire(now, TARGET.0, Ownership::Sole) == Slot::Taken
+            }
             Strategy::EqualShares => {
                 let (since, credit) = &mut shares[at];
                 let gained = per_s / instances as f64 * (now - *since) as f64 / 1000.0;
@@ -133,8 +135,8 @@
 #[test]
 fn a_target_with_a_limit_of_zero_gets_occasional_requests() {
     let mut limits = TargetLimits::default();
-    limits.learn(AnswerSpan::default(), TARGET, Some(0.0));
-    let taken = |now: &Millis| limits.take(*now, TARGET.0, Keeping::Sure) == Slot::Taken;
+    limits.apply(AnswerSpan::default(), TARGET, Some(0.0));
+    let taken = |now: &Millis| limits.try_acquire(*now, TARGET.0, Ownership::Sole) == Slot::Taken;
     let sent = (0..=60_000).step_by(100).filter(taken).count();
     assert_eq!(sent, 6);
 }
@@ -151,7 +153,7 @@
             limits.observe(AnswerSpan { sent: 900, received: 1000 }, (&id, "service"), named);
         }
         assert_eq!(limits.ids().count(), targets / 100);
-        assert_eq!(limits.allowances(1000, "service", Keeping::Sure).count(), targets / 100);
+        assert_eq!(limits.allowances(1000, "service", Ownership::Sole).count(), targets / 100);
         assert_eq!(limits.total_per_s("service"), targets as f64 / 100.0);
     }
 }
@@ -159,16 +161,16 @@
 /// State of an instance that has owned a limit of `per_s` requests a second for a while.
 fn owned(per_s: f64) -> TargetLimits {
     let mut limits = TargetLimits::default();
-    limits.learn(AnswerSpan::default(), TARGET, Some(per_s));
-    limits.keep(0, TARGET.0, true);
+    limits.apply(AnswerSpan::default(), TARGET, Some(per_s));
+    limits.set_owned(0, TARGET.0, true);
     limits
 }
 
 /// Requests admitted by the owners from `from` to `to`, with each of them asked every 5 ms.
-fn admitted(owners: &mut [TargetLimits], keeping: Keeping, from: Millis, to: Millis) -> usize {
+fn admitted(owners: &mut [TargetLimits], keeping: Ownership, from: Millis, to: Millis) -> usize {
     let times = (from..to).step_by(5);
     let taken = |now| {
-        let slots = owners.iter_mut().map(|it| it.take(now, TARGET.0, keeping));
+        let slots = owners.iter_mut().map(|it| it.try_acquire(now, TARGET.0, keeping));
         slots.filter(|it| *it == Slot::Taken).count()
     };
     times.map(taken).sum()
@@ -179,7 +181,7 @@
     for per_s in [0.5, 1.0, 3.0, 40.0] {
         let mut single = [owned(per_s)];
         // An idle time before gives no credit.
-        let sent = admitted(&mut single, Keeping::Sure, 30_000, 50_000);
+        let sent = admitted(&mut single, Ownership::Sole, 30_000, 50_000);
         let most = 20.0 * per_s;
         assert!((most.floor()..=most * 1.005 + 1.0).contains(&(sent as f64)), "{per_s}: {sent}");
     }
@@ -191,19 +193,19 @@
 fn repeated_changes_of_the_owner_admit_no_more() {
     for per_s in [0.5, 1.0, 3.0] {
         let mut owners = [owned(per_s), owned(per_s), owned(per_s)];
-        owners[1..].iter_mut().for_each(|it| it.keep(0, TARGET.0, false));
+        owners[1..].iter_mut().for_each(|it| it.set_owned(0, TARGET.0, false));
         let mut sent = 0;
         // The first instance is the owner until now.
         for second in 10..40 {
             let now = 1000 * second;
             let owner = second as usize % 3;
-            owners[owner].keep(now, TARGET.0, true);
+            owners[owner].set_owned(now, TARGET.0, true);
             // The previous owner learns of the change later.
             let previous = (owner + 2) % 3;
             let overlap = &mut owners[previous..=previous];
-            sent += admitted(overlap, Keeping::Sure, now, now + VIEW_MS);
-            owners[previous].keep(now + VIEW_MS, TARGET.0, false);
-            sent += admitted(&mut owners[owner..=owner], Keeping::Sure, now, now + 1000);
+            sent += admitted(overlap, Ownership::Sole, now, now + VIEW_MS);
+            owners[previous].set_owned(now + VIEW_MS, TARGET.0, false);
+            sent += admitted(&mut owners[owner..=owner], Ownership::Sole, now, now + 1000);
         }
         assert!(sent as f64 <= 30.0 * per_s + 1.0, "{per_s}: {sent}");
     }
@@ -215,12 +217,12 @@
 fn the_sides_of_a_partition_together_admit_no_more() {
     for (sides, reached) in [(2, 4), (4, 2), (8, 1)] {
         let mut owners = vec![owned(3.0); sides];
-        let keeping = Keeping::Unsure { reached, of: 8 };
+        let keeping = Ownership::Contested { reached, of: 8 };
         let sent = admitted(&mut owners, keeping, 10_000, 50_000);
         assert!(sent <= 40 * 3 + sides, "{sides}: {sent}");
     }
     // Another instance may own the limit too: at most half of it is admitted.
-    let unsure = Keeping::Unsure { reached: 7, of: 8 };
+    let unsure = Ownership::Contested { reached: 7, of: 8 };
     assert!(admitted(&mut [owned(3.0)], unsure, 10_000, 50_000) <= 40 * 3 / 2 + 1);
 }
 
@@ -230,17 +232,17 @@
     let made = |at: Millis| AnswerSpan { sent: at, received: at + 10 };
     let (mut asker, mut owner) = (TargetLimits::default(), TargetLimits::default());
     for it in [&mut asker, &mut owner] {
-        it.learn(made(1000), TARGET, Some(0.0));
+        it.apply(made(1000), TARGET, Some(0.0));
     }
-    owner.learn(made(2000), TARGET, None);
-    let update_of = |asker: &TargetLimits, now| asker.news(now, TARGET.0).unwrap();
+    owner.apply(made(2000), TARGET, None);
+    let update_of = |asker: &TargetLimits, now| asker.update(now, TARGET.0).unwrap();
     // While the owner remembers the end, an older update is ignored.
     let update = update_of(&asker, 30_000);
-    assert_eq!(owner.learn(update.made(30_000), TARGET, update.per_s), Change::Nothing);
-    owner.forget(90_000, |_| true);
+    assert_eq!(owner.apply(update.answer_span(30_000), TARGET, update.per_s), Change::Nothing);
+    owner.remove_expired(90_000, |_| true);
     let update = update_of(&asker, 90_000);
     assert!(owner.is_stale(&update));
     // A new limit is accepted.
-    asker.learn(made(89_000), TARGET, Some(0.0));
+    asker.apply(made(89_000), TARGET, Some(0.0));
     assert!(!owner.is_stale(&update_of(&asker, 90_000)));
 }
--- a/crates/holdpoint-core/tests/told_pace.rs
+++ b/crates/holdpoint-core/tests/told_pace.rs
@@ -5,9 +5,9 @@
     batcher::Batcher,
     catalog::default_policy,
     choice::Load,
-    pieces::{Sizes, Waiting},
-    route::{Call, End, Member, Router},
-    told_pace::ToldPace,
+    pieces::{CallProfile, QueuedItem},
+    route::{Call, CallOutcome, Member, Router},
+    told_pace::ReportedPace,
 };
 use holdpoint_schema::resources::{Policy, Route};
 use rand::{RngExt, SeedableRng};
@@ -31,13 +31,13 @@
             level * rng.random_range(0.5..1.5)
         })
         .collect();
-    let (mut pace, mut last) = (ToldPace::default(), 100.0);
+    let (mut pace, mut last) = (ReportedPace::default(), 100.0);
     let mut errors = [0.0; 3];
     // A tick is 10 ms. A call takes 30 ticks, and one is answered every 40 ticks.
     for end in (40..figures.len() - 40).step_by(40) {
         let now = 10 * end as u64;
         last = figures[end];
-        pace.told(now, figures[end] as u32);
+        pace.record(now, figures[end] as u32);
         let next = &figures[end + 10..end + 40];
         let took = next.iter().sum::<f64>() / next.len() as f64 / 100.0;
         let predicted = [last / 100.0, pace.factor(now + 100), 1.0];
@@ -58,13 +58,13 @@
 
 #[test]
 fn a_reported_pace_decays_to_the_usual_pace() {
-    let mut pace = ToldPace::default();
+    let mut pace = ReportedPace::default();
     assert_eq!(pace.factor(0), 1.0);
-    pace.told(1000, 300);
+    pace.record(1000, 300);
     assert!(2.9 < pace.factor(1000) && pace.is_slow(1000));
     assert!(pace.factor(2000) < 2.1);
     assert!(pace.factor(20_000) < 1.01 && !pace.is_slow(20_000));
-    pace.told(30_000, u32::MAX);
+    pace.record(30_000, u32::MAX);
     assert!(pace.factor(30_000) <= 10.0, "extreme figures are bounded");
 }
 
@@ -95,7 +95,7 @@
     for now in 0..40 {
         for target in ["a", "b"] {
             router.sent(now * 10, target, &call);
-            router.ended(now * 10 + 5, target, 100.0, End::Whole(100));
+            router.ended(now * 10 + 5, target, 100.0, CallOutcome::Completed(100));
         }
     }
     let mut count = |router: &mut Router, now| {
@@ -104,7 +104,7 @@
         chosen.filter(|it| it == "a").count()
     };
     assert!((30..70).contains(&count(&mut router, 500)));
-    router.report(500, "a", with_pace(400));
+    router.apply_report(500, "a", with_pace(400));
     assert_eq!(count(&mut router, 500), 0);
     assert!(router.is_slow(500, "a") && router.ejected(500).is_empty());
     assert!((20..80).contains(&count(&mut router, 60_000)), "the report has decayed");
@@ -113,14 +113,22 @@
 /// A call goes to the target at its usual pace, and the timeout of a call grows with the reported pace.
 #[test]
 fn a_stage_call_goes_to_the_faster_target_and_a_slow_one_gets_a_longer_timeout() {
-    let sizes =
-        Sizes { calls: 1, pieces: 6, call_ms: 200.0, piece_ms: 20.0, room_bytes: 0, keep_ms: 4000 };
+    let sizes = CallProfile {
+        max_calls: 1,
+        max_items: 6,
+        call_ms: 200.0,
+        item_ms: 20.0,
+        room_bytes: 0,
+        keep_ms: 4000,
+    };
     let mut batcher = Batcher::new(sizes);
     batcher.set_targets([("a", "d", false), ("b", "d", false)].into_iter());
-    batcher.told_load(0, "b", with_pace(300), 1);
-    batcher
-        .offer(0, Waiting { ticket: 1, group: 1, due: 5000, deadline: 9000, ..Waiting::default() });
-    let usual = batcher.patience_ms(0, "a", 1);
-    assert!(usual + 300 < batcher.patience_ms(0, "b", 1));
+    batcher.record_load(0, "b", with_pace(300), 1);
+    batcher.offer(
+        0,
+        QueuedItem { ticket: 1, group: 1, due: 5000, deadline: 9000, ..QueuedItem::default() },
+    );
+    let usual = batcher.timeout_ms(0, "a", 1);
+    assert!(usual + 300 < batcher.timeout_ms(0, "b", 1));
     assert_eq!(batcher.next(0).unwrap().target, "a");
 }
--- a/crates/holdpoint-core/tests/topology.rs
+++ b/crates/holdpoint-core/tests/topology.rs
@@ -11,7 +11,7 @@
 #[test]
 fn only_domains_of_the_own_region_are_near_with_several_regions() {
     let split = Topology::new("east", regions(&[("a", "east"), ("b", "north")]));
-    assert!(split.is_split());
+    assert!(split.has_regions());
     assert!(split.is_near("a"));
     assert!(!split.is_near("b"));
     assert!(!split.is_near("unknown"));
@@ -23,7 +23,7 @@
     let one = Topology::new("east", regions(&[("a", "east"), ("b", "east")]));
     let unstated = Topology::new("", regions(&[("a", "east"), ("b", "north")]));
     for it in [one, unstated, Topology::default()] {
-        assert!(!it.is_split());
+        assert!(!it.has_regions());
         assert!(it.is_near("a") && it.is_near("b") && it.is_near("unknown"));
     }
 }
--- a/crates/holdpoint-emulator/src/capacity.rs
+++ b/crates/holdpoint-emulator/src/capacity.rs
@@ -4,7 +4,7 @@
 use std::{collections::HashMap, hint::black_box, pin::Pin, time::Instant};
 
 use holdpoint_core::{
-    admit::{Ask, Gate, Offer, Signal},
+    admit::{AdmissionRequest, Gate, Offer, Signal},
     catalog::{Catalog, default_policy},
     claims::{ClaimTable, Claimant},
     cold::Share,
@@ -184,8 +184,8 @@
         .map(|it| Target {
             address: format!("10.{}.{}.{}:8000", it >> 16, (it >> 8) & 255, it & 255),
             domain: format!("domain-{}", it % 4),
-            leaving: false,
-            held: false,
+            is_draining: false,
+            is_evacuated: false,
         })
         .collect()
 }
@@ -245,7 +245,13 @@
     let full = |n: usize| {
         let mut gate = Gate::new(4 * n);
         for name in &names[..n] {
-            let ask = Ask { organisation: name, share: 1, cap: 64, deadline: 10_000, need: 100 };
+            let ask = AdmissionRequest {
+                organisation: name,
+                share: 1,
+                cap: 64,
+                deadline: 10_000,
+                service_ms: 100,
+            };
             // The gate admits one in four and defers the others.
             black_box(gate.offer(0, &ask));
         }
@@ -265,8 +271,13 @@
             micros(|| {
                 for index in 0..REQUESTS {
                     let name = &names[(index * 7919) % n];
-                    let ask =
-                        Ask { organisation: name, share: 1, cap: 64, deadline: 10_000, need: 100 };
+                    let ask = AdmissionRequest {
+                        organisation: name,
+                        share: 1,
+                        cap: 64,
+                        deadline: 10_000,
+                        service_ms: 100,
+                    };
                     if gate.offer(index as u64, &ask) == Offer::Admit {
                         drop(black_box(gate.done(index as u64, name, Signal::Clear)));
                     }
@@ -335,7 +346,7 @@
                 }
                 let claimant = Claimant { incarnation: "x".to_owned(), call: 1 };
                 for steps in &steps {
-                    drop(black_box(table.standing(&steps[0].key, "h", &claimant)));
+                    drop(black_box(table.status(&steps[0].key, "h", &claimant)));
                 }
             });
             drop(black_box(table));
@@ -410,7 +421,7 @@
 
 /// Cost of acknowledging one change: bytes that an instance sends and receives on top of quiet
 /// rounds until every instance knows that all have applied it, and the rounds until then.
-pub fn acknowledged(n: usize) -> (f64, usize) {
+pub fn ack_cost(n: usize) -> (f64, usize) {
     let mut views = settled_views(n);
     let idle_bytes = exchange(&mut views).1;
     for view in &mut views {
@@ -459,7 +470,7 @@
             },
         ),
         fit("acknowledgement of one change by all, bytes an instance", by, &sizes, |n| {
-            acknowledged(n).0
+            ack_cost(n).0
         }),
         fit("heartbeat with all members, as a full mesh sends, bytes", by, &sizes, |n| {
             let members: Vec<Member> = (0..n).map(member).collect();
--- a/crates/holdpoint-emulator/src/control.rs
+++ b/crates/holdpoint-emulator/src/control.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use futures::{StreamExt, stream};
-use holdpoint_platform::operators::ChangeForm;
+use holdpoint_platform::operators::ChangeOptions;
 use holdpoint_schema::caller::ChangeState;
 use holdpoint_standin::serve::wall_ms;
 use serde::Serialize;
@@ -32,11 +32,14 @@
     /// Maximum time until a change is active on all instances.
     pub worst_ms: f64,
     /// Median time until the operator received the status.
-    pub told_median_ms: f64,
+    #[serde(rename = "told_median_ms")]
+    pub reply_median_ms: f64,
     /// Maximum time until the operator received the status.
-    pub told_worst_ms: f64,
+    #[serde(rename = "told_worst_ms")]
+    pub reply_max_ms: f64,
     /// Changes reported as accepted before they were active on all instances.
-    pub told_early: usize,
+    #[serde(rename = "told_early")]
+    pub early_replies: usize,
 }
 
 /// Makes `n` changes in sequence and times each until it is active on all instances.
@@ -47,12 +50,12 @@
     for index in 0..n {
         let spec = json!({ "route": "predicted", "retry_percent": index % 100 });
         let began = Instant::now();
-        let before = world.shared(0).map_or(0, |it| it.now().offset);
-        let form = ChangeForm::default();
+        let before = world.shared(0).map_or(0, |it| it.published().offset);
+        let form = ChangeOptions::default();
         let put = world.put(index % instances, "policies", "predicted", &spec, &form);
         let (status, applied) = tokio::join!(async { (put.await, began.elapsed()) }, async {
             let has_applied =
-                |it: usize| world.shared(it).is_some_and(|it| before < it.now().offset);
+                |it: usize| world.shared(it).is_some_and(|it| before < it.published().offset);
             while !(0..instances).all(has_applied) {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
@@ -69,17 +72,18 @@
         changes: n,
         median_ms: quantile_ms(&active, 0.5),
         worst_ms: quantile_ms(&active, 1.0),
-        told_median_ms: quantile_ms(&reported, 0.5),
-        told_worst_ms: quantile_ms(&reported, 1.0),
-        told_early,
+        reply_median_ms: quantile_ms(&reported, 0.5),
+        reply_max_ms: quantile_ms(&reported, 1.0),
+        early_replies: told_early,
     }
 }
 
 /// New calls that a draining target still receives.
 #[derive(Clone, Debug, Serialize)]
-pub struct LeavingTimes {
+pub struct DrainTimes {
     /// Source of the drain notice, and the faults at the time.
-    pub sign: &'static str,
+    #[serde(rename = "sign")]
+    pub source: &'static str,
     /// Time from the drain notice to the last new call, in milliseconds.
     pub last_ms: u64,
     /// New calls after the drain notice.
@@ -87,7 +91,7 @@
 }
 
 /// Drains a target under load, once for each source of the drain notice.
-pub async fn leaving() -> Vec<LeavingTimes> {
+pub async fn draining() -> Vec<DrainTimes> {
     let mut rows = Vec::new();
     for sign in ["list", "own answer, list frozen", "own answer, list frozen, one peer cut off"] {
         let world = World::start(&Plan::new(3).with_relays()).await;
@@ -96,10 +100,10 @@
         let drain = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
             if sign == "list" {
-                world.list.leave_target(target.address());
+                world.list.drain_target(target.address());
             } else {
                 world.list.set_stale(true);
-                target.faults().leaving = true;
+                target.faults().is_draining = true;
             }
             if sign.ends_with("cut off") {
                 world.drop_traffic(2, true, true);
@@ -107,8 +111,8 @@
             (wall_ms(), target.calls())
         };
         let ((), (began, before)) = tokio::join!(load, drain);
-        let last_ms = target.last_call().saturating_sub(began);
-        rows.push(LeavingTimes { sign, last_ms, calls: target.calls() - before });
+        let last_ms = target.last_call_ms().saturating_sub(began);
+        rows.push(DrainTimes { source: sign, last_ms, calls: target.calls() - before });
     }
     rows
 }
--- a/crates/holdpoint-emulator/src/faults.rs
+++ b/crates/holdpoint-emulator/src/faults.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use holdpoint_platform::operators::ChangeForm;
+use holdpoint_platform::operators::ChangeOptions;
 use holdpoint_standin::target::TargetFaults;
 use serde::Serialize;
 use serde_json::json;
@@ -167,7 +167,7 @@
             }
         }
         Fault::TargetErrors => all(&|it| it.error = 200),
-        Fault::LostAnswers => all(&|it| it.lose_answer = 100),
+        Fault::LostAnswers => all(&|it| it.truncate_answer = 100),
         Fault::Hangs => all(&|it| it.hang = 50),
         Fault::DeadTargets => for_first_targets(world, |it| it.stop()),
         Fault::CutStreams => all(&|it| it.cut = 300),
@@ -176,10 +176,10 @@
             it.duplicate = 300;
             it.reorder = 300;
         }),
-        Fault::CrossedAnswers => all(&|it| it.cross = 50),
+        Fault::CrossedAnswers => all(&|it| it.swap_id = 50),
         Fault::Leaving => for_first_targets(world, |it| {
-            it.faults().leaving = true;
-            world.list.leave_target(it.address());
+            it.faults().is_draining = true;
+            world.list.drain_target(it.address());
         }),
         Fault::Crash => {
             world.kill(1);
@@ -212,8 +212,8 @@
 
 fn clear_faults(world: &World) {
     for (_, target) in &world.targets {
-        let leaving = target.faults().leaving;
-        *target.faults() = TargetFaults { leaving, ..TargetFaults::default() };
+        let leaving = target.faults().is_draining;
+        *target.faults() = TargetFaults { is_draining: leaving, ..TargetFaults::default() };
     }
     *world.log.faults() = holdpoint_standin::log::LogFaults::default();
     world.list.set_stale(false);
@@ -222,7 +222,7 @@
 
 /// Changes one resource at every instance concurrently, against the same version.
 async fn race(world: &World) {
-    let form = ChangeForm { base: Some(1), change: None };
+    let form = ChangeOptions { base: Some(1), change: None };
     for percent in 0..5 {
         let spec = json!({ "route": "predicted", "retry_percent": percent });
         let changes = (0..world.len()).map(|it| {
--- a/crates/holdpoint-emulator/src/load.rs
+++ b/crates/holdpoint-emulator/src/load.rs
@@ -346,7 +346,7 @@
             }
         }
         // A request that was never sent was not run.
-        Reply::Silence(it) if it.is_never_sent() && ran == 0 => verdicts.not_run += 1,
+        Reply::Silence(it) if it.is_unsent() && ran == 0 => verdicts.not_run += 1,
         Reply::Silence(_) if exchange.kind.is_keyed => verdicts.unknown += 1,
         Reply::Silence(_) => verdicts.lost += 1,
     }
--- a/crates/holdpoint-emulator/src/policies.rs
+++ b/crates/holdpoint-emulator/src/policies.rs
@@ -40,7 +40,7 @@
 /// Fault during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum Scenario {
     /// No fault.
     None,
     /// The stage before generation takes ten times as long.
@@ -61,7 +61,7 @@
     /// Offered load, as a percentage of the engines' capacity.
     pub load: u32,
     /// Fault.
-    pub trouble: Trouble,
+    pub scenario: Scenario,
     /// Seed of arrivals and decisions.
     pub seed: u64,
     /// Entry instances, each with its own router and gate.
--- a/crates/holdpoint-emulator/src/policies/run.rs
+++ b/crates/holdpoint-emulator/src/policies/run.rs
@@ -6,18 +6,18 @@
 };
 
 use holdpoint_core::{
-    admit::{Ask, Gate, Offer, Signal, Ticket},
+    admit::{AdmissionRequest, Gate, Offer, Signal, Ticket},
     cold::Share,
     deadline::{Budget, Times, budget},
     retry::RetryBudget,
-    route::{Call, End, Load, Member, Router},
+    route::{Call, CallOutcome, Load, Member, Router},
 };
 use holdpoint_schema::resources::{Policy, Route};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
 use crate::policies::{
-    Outcome, Setup, Trouble,
+    Outcome, Scenario, Setup,
     engine::{self, Engine, Work},
     policy_of,
     workload::{Arrival, arrivals},
@@ -93,7 +93,7 @@
         let arrivals = arrivals(user, rate, setup.seconds, setup.instances, &mut rng);
         let policy = policy_of(setup.arm.route.unwrap_or(Route::Predicted));
         let instances = (0..setup.instances).map(|it| instance(setup, it, &policy)).collect();
-        let slow = |it: usize| setup.trouble == Trouble::SlowQuarter && it.is_multiple_of(4);
+        let slow = |it: usize| setup.scenario == Scenario::SlowQuarter && it.is_multiple_of(4);
         let engine = |it| Engine::new(if slow(it) { 3 } else { 1 });
         let mut run = Run {
             setup,
@@ -168,12 +168,12 @@
         let now = self.now_ms();
         let request = &self.requests[index];
         let instance = &mut self.instances[request.arrival.instance];
-        let ask = Ask {
+        let ask = AdmissionRequest {
             organisation: ORGANISATIONS[request.arrival.organisation],
             share: 1,
             cap: u32::MAX,
             deadline: request.deadline_us / 1000,
-            need: instance.times[request.arrival.kind].quantile(0.5).unwrap_or(0),
+            service_ms: instance.times[request.arrival.kind].quantile(0.5).unwrap_or(0),
         };
         match instance.gate.offer(now, &ask) {
             Offer::Admit => self.start(index),
@@ -188,7 +188,7 @@
     }
 
     fn pre_stage_us(&self) -> u64 {
-        let factor = if self.setup.trouble == Trouble::SlowStage { 10 } else { 1 };
+        let factor = if self.setup.scenario == Scenario::SlowStage { 10 } else { 1 };
         self.setup.user.pre_stage_us * factor
     }
 
@@ -210,7 +210,7 @@
         let left = request.deadline_us.saturating_sub(self.now_us) / 1000;
         let is_hopeless = matches!(
             budget(left, instance.times[request.arrival.kind].quantile(0.1), &[]),
-            Budget::Hopeless { .. }
+            Budget::TooLate { .. }
         );
         if is_hopeless || MAX_ATTEMPTS <= request.tried.len() {
             return self.abandon(index);
@@ -220,7 +220,7 @@
         let Ok(choice) = chosen else { return self.abandon(index) };
         instance.router.sent(now, &choice.address, &call);
         if request.tried.is_empty() {
-            instance.retries.first(self.policy.retry_percent);
+            instance.retries.record_first(self.policy.retry_percent);
         }
         let engine: usize = choice.address[1..].parse().unwrap_or(0);
         let delay = self.network_us(request.arrival.instance, engine);
@@ -230,7 +230,7 @@
 
     fn abandon(&mut self, index: usize) {
         self.open -= 1;
-        self.release_gate(index, Signal::Silent);
+        self.release_gate(index, Signal::Unknown);
     }
 
     fn network_us(&self, instance: usize, engine: usize) -> u64 {
@@ -238,7 +238,7 @@
     }
 
     fn deliver(&mut self, index: usize, engine: usize) {
-        let is_failing = self.setup.trouble == Trouble::FailingTenth && engine.is_multiple_of(10);
+        let is_failing = self.setup.scenario == Scenario::FailingTenth && engine.is_multiple_of(10);
         if is_failing {
             return self.schedule(self.now_us + REFUSAL_DELAY_US, Event::Failed(index, engine));
         }
@@ -307,10 +307,10 @@
         let instance = &mut self.instances[request.arrival.instance];
         let address = address(engine);
         instance.times[request.arrival.kind].record(now, all);
-        instance.router.ended(now, &address, call(request).work, End::Whole(took));
+        instance.router.ended(now, &address, call(request).work, CallOutcome::Completed(took));
         let running = self.engines[engine].running.len() as u32;
         let waiting = self.engines[engine].waiting.len() as u32;
-        instance.router.report(now, &address, Load { running, waiting, pace_percent: None });
+        instance.router.apply_report(now, &address, Load { running, waiting, pace_percent: None });
         self.release_gate(index, Signal::of_load(running, waiting));
     }
 
@@ -324,7 +324,7 @@
         let now = self.now_ms();
         let request = &self.requests[index];
         let instance = &mut self.instances[request.arrival.instance];
-        instance.router.ended(now, &address(engine), call(request).work, End::Dropped);
+        instance.router.ended(now, &address(engine), call(request).work, CallOutcome::Cancelled);
         let running = self.engines[engine].running.len() as u32;
         let waiting = self.engines[engine].waiting.len() as u32;
         self.release_gate(index, Signal::of_load(running, waiting));
@@ -339,7 +339,7 @@
         let request = &mut self.requests[index];
         let instance = &mut self.instances[request.arrival.instance];
         let address = address(engine);
-        instance.router.ended(now, &address, call(request).work, End::Failed);
+        instance.router.ended(now, &address, call(request).work, CallOutcome::Failed);
         request.tried.push(address);
         if instance.retries.spend() {
             self.outcome.retries += 1;
@@ -384,7 +384,7 @@
             let free: Vec<usize> = (0..self.engines.len())
                 .filter(|it| {
                     let failing =
-                        self.setup.trouble == Trouble::FailingTenth && it.is_multiple_of(10);
+                        self.setup.scenario == Scenario::FailingTenth && it.is_multiple_of(10);
                     let engine = &self.engines[*it];
                     !failing && engine.running.len() + engine.waiting.len() < engine::SLOTS
                 })
@@ -452,8 +452,8 @@
     let member = |it: usize| Member {
         address: address(it),
         domain: format!("d{}", it % 4),
-        leaving: false,
-        held: false,
+        is_draining: false,
+        is_evacuated: false,
     };
     let members: Vec<Member> = (0..setup.user.engines).map(member).collect();
     let mut router = Router::new(&format!("i{index}"), &format!("d{}", index % 4), policy.clone());
--- a/crates/holdpoint-emulator/src/running.rs
+++ b/crates/holdpoint-emulator/src/running.rs
@@ -30,7 +30,8 @@
     /// Resident memory in bytes: growth of the process per instance.
     pub memory: f64,
     /// Median and maximum time until a change is active on all instances, in milliseconds.
-    pub in_force_ms: (f64, f64),
+    #[serde(rename = "in_force_ms")]
+    pub active_ms: (f64, f64),
 }
 
 /// Measures idle instances over `seconds`, with heartbeats and list polls once a second.
@@ -64,11 +65,11 @@
         heartbeats: (metric_total("holdpoint_heartbeats_total") - heartbeats) / instance_seconds,
         log_reads: (world.log.counts().reads - reads) as f64 / instance_seconds,
         memory,
-        in_force_ms: (0.0, 0.0),
+        active_ms: (0.0, 0.0),
     };
     drop(world);
     let times = control::changes(instances, 20).await;
-    Idle { in_force_ms: (times.median_ms, times.worst_ms), ..idle }
+    Idle { active_ms: (times.median_ms, times.worst_ms), ..idle }
 }
 
 /// Sums the values of all metric lines that start with `name`.
--- a/crates/holdpoint-emulator/src/users.rs
+++ b/crates/holdpoint-emulator/src/users.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use holdpoint_schema::resources::{Resource, ResourceFile};
-use holdpoint_standin::target::TargetForm;
+use holdpoint_standin::target::TargetConfig;
 use holdpointd::settings::parse_jsonc;
 
 const WINE: &str = include_str!("../../../examples/prairie-cellars-resources.jsonc");
@@ -71,10 +71,10 @@
 }
 
 /// Configuration of the stand-in target at `index` of a pool.
-pub fn target_config(pool: &PoolSpec, index: usize) -> TargetForm {
+pub fn target_config(pool: &PoolSpec, index: usize) -> TargetConfig {
     let is_wine = WINE.contains(&format!("\"name\": \"{}\"", pool.name));
     let domains = if is_wine { WINE_DOMAINS } else { LAMP_DOMAINS };
-    TargetForm {
+    TargetConfig {
         pool: pool.name.to_owned(),
         domain: domains[index % domains.len()].to_owned(),
         step: pool.step,
--- a/crates/holdpoint-emulator/src/world.rs
+++ b/crates/holdpoint-emulator/src/world.rs
@@ -6,7 +6,7 @@
 use holdpoint_core::ids::sha256_hex;
 use holdpoint_platform::{
     Http, OperatorClient,
-    operators::{ApiError, ChangeForm},
+    operators::{ApiError, ChangeOptions},
 };
 use holdpoint_schema::{
     caller::{ChangeState, ChangeStatus},
@@ -20,7 +20,7 @@
     tally::Tally,
     target::{TargetFaults, TargetStandin},
 };
-use holdpointd::{Ended, Instance};
+use holdpointd::{Instance, StopOutcome};
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 
@@ -155,7 +155,7 @@
         let addresses = instance.addresses();
         let peers = addresses.peers.to_string();
         if let Some(it) = &relay {
-            it.lead_to(&peers);
+            it.forward_to(&peers);
         }
         let listed = relay.as_ref().map_or(peers.as_str(), |it| it.address());
         self.list.add_instance(name, listed);
@@ -180,7 +180,7 @@
     /// Drains and stops an instance, then removes it from the instance list.
     ///
     /// Returns `None` if the instance is not running.
-    pub async fn stop(&self, index: usize) -> Option<Ended> {
+    pub async fn stop(&self, index: usize) -> Option<StopOutcome> {
         let (instance, name) = {
             let mut slots = self.slots.lock();
             (slots[index].instance.take(), slots[index].name.clone())
@@ -195,7 +195,7 @@
     /// Does nothing without relays.
     pub fn drop_traffic(&self, index: usize, calls: bool, answers: bool) {
         if let Some(it) = &self.slots.lock()[index].relay {
-            it.lose(calls, answers);
+            it.set_drops(calls, answers);
         }
     }
 
@@ -226,14 +226,14 @@
 
     /// Whether an instance is running and accepts new work.
     pub fn is_ready(&self, index: usize) -> bool {
-        self.shared(index).is_some_and(|it| it.is_ready(&it.now()))
+        self.shared(index).is_some_and(|it| it.is_ready(&it.published()))
     }
 
     /// Whether every running instance accepts new work and sees the others.
     pub fn all_ready(&self) -> bool {
         let live: Vec<_> = (0..self.len()).filter_map(|it| self.shared(it)).collect();
         live.iter().all(|it| {
-            let view = it.now();
+            let view = it.published();
             it.is_ready(&view) && live.len() <= view.peers.len() + 1
         })
     }
@@ -267,7 +267,7 @@
         for resource in resources {
             let spec = Value::Object(resource.spec.clone());
             let (kind, name) = (resource.kind.to_string(), resource.name.clone());
-            let status = operator.put(&kind, &name, &spec, &ChangeForm::default()).await;
+            let status = operator.put(&kind, &name, &spec, &ChangeOptions::default()).await;
             let accepted = status.map(|it| it.state) == Ok(ChangeState::Accepted);
             assert!(accepted, "{kind}/{name} is accepted");
         }
@@ -280,7 +280,7 @@
         kind: &str,
         name: &str,
         spec: &Value,
-        form: &ChangeForm,
+        form: &ChangeOptions,
     ) -> Result<ChangeStatus, ApiError> {
         self.operator(index).put(kind, name, spec, form).await
     }
--- a/crates/holdpoint-emulator/tests/failures.rs
+++ b/crates/holdpoint-emulator/tests/failures.rs
@@ -8,7 +8,7 @@
     load::instances,
     world::{Plan, World},
 };
-use holdpoint_platform::operators::ChangeForm;
+use holdpoint_platform::operators::ChangeOptions;
 use holdpoint_schema::caller::ChangeState;
 use serde_json::{Value, json};
 use uuid::Uuid;
@@ -47,12 +47,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hold_whose_answer_was_lost_is_unknown_and_never_sent_again() {
     let world = World::start(&Plan::new(2)).await;
-    world.pool("till-stock").iter().for_each(|it| it.faults().lose_answer = 1000);
+    world.pool("till-stock").iter().for_each(|it| it.faults().truncate_answer = 1000);
     let request = hold("lost", 4000);
     let reply = send(&world, 0, &request).await;
     assert_eq!(reply.problem_kind(), Some("outcome-unknown"), "{reply:?}");
     assert!(!reply.is_not_run());
-    world.pool("till-stock").iter().for_each(|it| it.faults().lose_answer = 0);
+    world.pool("till-stock").iter().for_each(|it| it.faults().truncate_answer = 0);
     let again = send(&world, 1, &request).await;
     assert_eq!(
         again.problem_kind(),
@@ -66,7 +66,7 @@
 async fn a_transfer_whose_answer_was_lost_is_made_again_since_its_targets_check_keys() {
     let world = World::start(&Plan::new(2)).await;
     // All targets but the first lose their answers, so that calls are retried with their key.
-    world.pool("transfers").iter().skip(1).for_each(|it| it.faults().lose_answer = 1000);
+    world.pool("transfers").iter().skip(1).for_each(|it| it.faults().truncate_answer = 1000);
     let mut request = hold("transfer", 4000);
     request.pipeline = "transfer".to_owned();
     for _ in 0..6 {
@@ -120,7 +120,7 @@
     (request.pipeline, request.key, request.streamed) = ("pairing".to_owned(), None, true);
     request.bearer = "demo-regina-shops".to_owned();
     assert!(send(&world, 0, &request).await.is_whole());
-    let place = holdpoint_core::token::Place {
+    let place = holdpoint_core::token::StreamPosition {
         organisation: "regina-shops".to_owned(),
         pipeline: "pairing".to_owned(),
         request: "r".to_owned(),
@@ -147,7 +147,7 @@
     let world = World::start(&Plan::new(3).with_settings(waits)).await;
     // The list still contains the crashed instance, so the change cannot be confirmed there.
     world.kill(2);
-    let form = ChangeForm { base: None, change: Some("c1".to_owned()) };
+    let form = ChangeOptions { base: None, change: Some("c1".to_owned()) };
     let status = world.put(0, "policies", "predicted", &spec(7), &form).await.unwrap();
     assert_eq!(status.state, ChangeState::Pending);
     assert_eq!(status.missing, ["entry-3"]);
@@ -168,7 +168,7 @@
     let world = World::start(&Plan::new(2)).await;
     let before = world.log.records("control").len();
     world.log.faults().lose_answers = 2;
-    let form = ChangeForm { base: None, change: Some("c2".to_owned()) };
+    let form = ChangeOptions { base: None, change: Some("c2".to_owned()) };
     let status = world.put(0, "policies", "predicted", &spec(8), &form).await.unwrap();
     assert_eq!(status.state, ChangeState::Accepted);
     // The operator repeats the change at the other instance, as if the answer had been lost.
@@ -186,7 +186,7 @@
     let waits = json!({ "timing": { "change_wait_ms": 200 } });
     let world = World::start(&Plan::new(2).with_settings(waits)).await;
     world.log.faults().outage = true;
-    let form = ChangeForm { base: None, change: Some("c3".to_owned()) };
+    let form = ChangeOptions { base: None, change: Some("c3".to_owned()) };
     let status = world.put(0, "policies", "predicted", &spec(9), &form).await.unwrap();
     assert_eq!(status.state, ChangeState::Unknown);
     world.log.faults().outage = false;
@@ -242,8 +242,9 @@
     let mut expected = spec(20);
     for turn in 0..6_usize {
         let percent = 20 + u32::try_from(turn).unwrap();
-        let status =
-            world.put(turn, "policies", "predicted", &spec(percent), &ChangeForm::default()).await;
+        let status = world
+            .put(turn, "policies", "predicted", &spec(percent), &ChangeOptions::default())
+            .await;
         assert_eq!(status.unwrap().state, ChangeState::Accepted);
         expected = spec(percent);
         tokio::time::sleep(Duration::from_millis(900)).await;
@@ -265,7 +266,7 @@
     world.list.set_stale(true);
     // With a stale list, only the target's answers carry the drain notice.
     let target = world.pool("commune-portal")[0];
-    target.faults().leaving = true;
+    target.faults().is_draining = true;
     let mut request = hold("status", 2000);
     (request.pipeline, request.key) = ("lamp-status".to_owned(), None);
     request.bearer = "demo-rennes-commune".to_owned();
@@ -275,10 +276,10 @@
     world
         .wait_until("every instance has the drain notice", |it| {
             (0..3).all(|index| {
-                let view = it.shared(index).unwrap().now();
+                let view = it.shared(index).unwrap().published();
                 view.targets["commune-portal"]
                     .iter()
-                    .any(|it| it.address == target.address() && it.leaving)
+                    .any(|it| it.address == target.address() && it.is_draining)
             })
         })
         .await;
@@ -296,7 +297,7 @@
     let mut pool =
         world.operator(0).get("/apis/v1/pools/wine-models").await.unwrap()["spec"].clone();
     pool["checks"] = json!("token");
-    let form = ChangeForm::default();
+    let form = ChangeOptions::default();
     world.put(0, "pools", "wine-models", &pool, &form).await.unwrap();
     let placement = json!({
         "pool": "wine-models", "loads_per_minute": 6000,
@@ -307,7 +308,7 @@
         let engines = world.pool("wine-models");
         engines
             .iter()
-            .filter(|it| it.followed().last().is_some_and(|it| it.order.model == model))
+            .filter(|it| it.applied_orders().last().is_some_and(|it| it.order.model == model))
             .count()
     };
     world
@@ -318,17 +319,17 @@
     let tokens: Vec<u64> = world
         .pool("wine-models")
         .iter()
-        .flat_map(|it| it.followed())
+        .flat_map(|it| it.applied_orders())
         .filter_map(|it| it.token)
         .collect();
     assert_eq!(tokens.len(), 12, "one order per engine");
     // A lease holder that resumes with a stale token is refused by the engines.
     let shared = world.shared(0).unwrap();
     let engine = world.pool("wine-models")[0];
-    let stale = engine.followed()[0].clone();
+    let stale = engine.applied_orders()[0].clone();
     let late = shared.engines.order(engine.address(), Some(1), &stale.order).await;
     assert_eq!(late, Err(holdpoint_platform::CallError::Status(412)));
-    assert_eq!(engine.refused_orders(), 1);
+    assert_eq!(engine.rejected_orders(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/holdpoint-emulator/tests/sessions.rs
+++ b/crates/holdpoint-emulator/tests/sessions.rs
@@ -7,8 +7,8 @@
     load::instances,
     world::{OPERATOR_TOKEN, Plan, World},
 };
-use holdpoint_platform::operators::ChangeForm;
-use holdpointd::Ended;
+use holdpoint_platform::operators::ChangeOptions;
+use holdpointd::StopOutcome;
 use hyper::Method;
 use serde_json::{Value, json};
 use tokio::task::JoinHandle;
@@ -220,7 +220,7 @@
     let before = session.call(&address, Method::GET, path, std::slice::from_ref(&token), b"").await;
     let base = before["version"].as_u64().unwrap();
     let spec = |percent: u32| json!({ "route": "two-choices", "retry_percent": percent });
-    let form = |change: &str| ChangeForm { base: Some(base), change: Some(change.to_owned()) };
+    let form = |change: &str| ChangeOptions { base: Some(base), change: Some(change.to_owned()) };
     let (spec_a, spec_b) = (spec(1), spec(2));
     let (form_a, form_b) = (form("change-a"), form("change-b"));
     let (a, b) = tokio::join!(
@@ -245,7 +245,7 @@
     let (address, base) = (session.world.operators(2), base.to_string());
     let headers =
         [token.clone(), ("if-match", base.clone()), ("holdpoint-change", "winner".to_owned())];
-    let form = ChangeForm { base: Some(base.parse().unwrap()), change: Some(won.to_owned()) };
+    let form = ChangeOptions { base: Some(base.parse().unwrap()), change: Some(won.to_owned()) };
     let again = session.world.put(2, "policies", "two-choices", &same, &form).await.unwrap();
     session.add_comment(&format!("answer: {}", again.state));
     session.add_comment("a new change against the old version");
@@ -276,7 +276,7 @@
     session.add_comment("a long stream is under way at instance 0 when it is stopped");
     let reading = begin_stream(&session.world, "e1").await;
     let ended = session.world.stop(0).await;
-    assert_eq!(ended, Some(Ended::Drained));
+    assert_eq!(ended, Some(StopOutcome::Drained));
     let reply = reading.await.unwrap();
     session.add_comment("the stop waited for it");
     session.record_reply("allocation-summary", &reply);
@@ -296,7 +296,7 @@
         "the drain limit passes while a stream is under way: its token goes on elsewhere",
     );
     let reading = begin_stream(&session.world, "f1").await;
-    assert_eq!(session.world.stop(0).await, Some(Ended::Cut));
+    assert_eq!(session.world.stop(0).await, Some(StopOutcome::Cut));
     session.record_reply("allocation-summary", &reading.await.unwrap());
     assert_eq!(session.world.tally.runs("wine-models", "f1"), 1, "generated once");
     insta::assert_snapshot!(session.text);
--- a/crates/holdpoint-platform/src/http.rs
+++ b/crates/holdpoint-platform/src/http.rs
@@ -39,7 +39,7 @@
 
 impl CallError {
     /// Whether the error proves that the call never left this process.
-    pub fn is_never_sent(self) -> bool {
+    pub fn is_unsent(self) -> bool {
         self == CallError::NotConnected
     }
 }
--- a/crates/holdpoint-platform/src/instant.rs
+++ b/crates/holdpoint-platform/src/instant.rs
@@ -38,7 +38,7 @@
     /// Simulates a suspension for the whole process, for tests. The standard library's clock and
     /// timers are not affected.
     #[doc(hidden)]
-    pub fn suspend(time: Duration) {
+    pub fn simulate_suspension(time: Duration) {
         SUSPENDED_MS.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
     }
 }
--- a/crates/holdpoint-platform/src/log.rs
+++ b/crates/holdpoint-platform/src/log.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
     /// The log did not answer, or not with a valid batch.
-    Silent,
+    Unavailable,
     /// Records from that offset are no longer retained.
     Expired {
         /// Offset of the oldest record retained.
@@ -97,12 +97,12 @@
             .http
             .call(Method::GET, &self.address, &path, &[], Vec::new(), self.timeout + wait)
             .await
-            .map_err(|_| ReadError::Silent)?;
+            .map_err(|_| ReadError::Unavailable)?;
         let batch: LogBatch = match reply.status {
             StatusCode::OK | StatusCode::GONE => {
-                serde_json::from_slice(&reply.body).map_err(|_| ReadError::Silent)?
+                serde_json::from_slice(&reply.body).map_err(|_| ReadError::Unavailable)?
             }
-            _ => return Err(ReadError::Silent),
+            _ => return Err(ReadError::Unavailable),
         };
         if reply.status == StatusCode::GONE {
             return Err(ReadError::Expired { first: batch.first });
--- a/crates/holdpoint-platform/src/operators.rs
+++ b/crates/holdpoint-platform/src/operators.rs
@@ -30,7 +30,7 @@
 
 /// Options of a change.
 #[derive(Clone, Debug, Default)]
-pub struct ChangeForm {
+pub struct ChangeOptions {
     /// Version that the change is based on: 0 if the resource must not exist; the active version if
     /// absent.
     pub base: Option<u64>,
@@ -61,7 +61,7 @@
         kind: &str,
         name: &str,
         spec: &Value,
-        form: &ChangeForm,
+        form: &ChangeOptions,
     ) -> Result<ChangeStatus, ApiError> {
         let body = serde_json::to_vec(spec).unwrap_or_default();
         self.change(Method::PUT, kind, name, body, form).await
@@ -72,7 +72,7 @@
         &self,
         kind: &str,
         name: &str,
-        form: &ChangeForm,
+        form: &ChangeOptions,
     ) -> Result<ChangeStatus, ApiError> {
         self.change(Method::DELETE, kind, name, Vec::new(), form).await
     }
@@ -100,7 +100,7 @@
         kind: &str,
         name: &str,
         body: Vec<u8>,
-        form: &ChangeForm,
+        form: &ChangeOptions,
     ) -> Result<ChangeStatus, ApiError> {
         let mut headers = Vec::new();
         headers.extend(form.base.map(|it| ("if-match", it.to_string())));
--- a/crates/holdpoint-soak/src/callers.rs
+++ b/crates/holdpoint-soak/src/callers.rs
@@ -195,7 +195,7 @@
 ) -> Outcome {
     let mut request = CallerRequest::new(id, route.path()).with_body(id.to_owned());
     if route == Route::Staged {
-        request = request.with_pieces("2,3").with_prompt("a:4000,b:4000,c:3000");
+        request = request.with_items("2,3").with_prompt("a:4000,b:4000,c:3000");
     }
     let limit = if is_cancelled { CANCEL_TIMEOUT } else { ANSWER_TIMEOUT };
     match timeout(limit, exchange(sender, request)).await {
--- a/crates/holdpoint-soak/src/faults.rs
+++ b/crates/holdpoint-soak/src/faults.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use holdpoint_adapter_standin::{Behaviour, Outage, Shed, Target};
+use holdpoint_adapter_standin::{Behaviour, Outage, Rejection, Target};
 use rustix::process::Signal;
 use tokio::{task::JoinSet, time::sleep};
 
@@ -48,9 +48,9 @@
             fleet.failed_links.lock().push((target, from..=fleet.clock.now()));
         }
         FaultKind::StoreOutage { is_silent } => {
-            fleet.store.gate.set_outage(if is_silent { Outage::Silent } else { Outage::Busy });
+            fleet.store.endpoint.set_outage(if is_silent { Outage::Silent } else { Outage::Busy });
             sleep(duration).await;
-            fleet.store.gate.set_outage(Outage::None);
+            fleet.store.endpoint.set_outage(Outage::None);
         }
         FaultKind::StoreCompaction => fleet.store.compact(),
         FaultKind::Target(target, how) => {
@@ -66,15 +66,15 @@
         }
         FaultKind::Configure => fleet.configure(),
         FaultKind::DrainNotice(target) => {
-            fleet.targets[target].target.set_leaving(true);
+            fleet.targets[target].target.set_draining(true);
             sleep(duration).await;
             replace(&fleet, target).await;
         }
         FaultKind::BackoffNotice { target, ms } => {
             let target = &fleet.targets[target].target;
-            target.set_shed(Some(Shed::for_rest(Duration::from_millis(ms))));
+            target.set_rejection(Some(Rejection::with_backoff(Duration::from_millis(ms))));
             sleep(duration).await;
-            target.set_shed(None);
+            target.set_rejection(None);
         }
         FaultKind::Limit { target, per_10_s } => {
             let target = &fleet.targets[target].target;
@@ -104,14 +104,14 @@
 }
 
 fn clear_all(fleet: &Fleet) {
-    fleet.store.gate.set_outage(Outage::None);
+    fleet.store.endpoint.set_outage(Outage::None);
     (0..DOMAINS).for_each(|it| fleet.store.restore(&domain_name(it)));
     fleet.store_links.iter().for_each(|it| it.set(None));
     for (index, it) in fleet.targets.iter().enumerate() {
         it.proxy.set(None);
         it.target.set_behaviour(normal_behaviour(index));
         it.target.set_limit(None);
-        it.target.set_shed(None);
+        it.target.set_rejection(None);
     }
     for process in 0..fleet.store_links.len() {
         fleet.signal(process, Signal::CONT);
@@ -131,7 +131,7 @@
         TargetFault::Fails => Behaviour::Fail,
         TargetFault::Disconnects => Behaviour::RunAndCut,
         TargetFault::Hangs => Behaviour::RunAndHang,
-        TargetFault::SwapsId => Behaviour::Cross,
+        TargetFault::SwapsId => Behaviour::WrongRequestId,
         TargetFault::Truncates if target / TARGETS == 1 => Behaviour::BreakAfter(2),
         TargetFault::Truncates => Behaviour::CutBody,
     }
--- a/crates/holdpoint-soak/src/fleet.rs
+++ b/crates/holdpoint-soak/src/fleet.rs
@@ -44,20 +44,20 @@
 
 /// The soak or one of its daemon processes could not be started.
 #[derive(Debug)]
-pub struct CannotStart {
+pub struct StartError {
     /// Path of the daemon's executable.
     pub program: PathBuf,
     /// Underlying I/O error.
     pub cause: io::Error,
 }
 
-impl fmt::Display for CannotStart {
+impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.program.display(), self.cause)
     }
 }
 
-impl std::error::Error for CannotStart {}
+impl std::error::Error for StartError {}
 
 /// Daemon executables to run and where to keep their logs.
 #[derive(Clone, Debug)]
@@ -154,7 +154,7 @@
         let mut store_links = Vec::new();
         let mut settings = Vec::new();
         for index in 0..plan.processes {
-            let link = Proxy::start(store.gate.address).await;
+            let link = Proxy::start(store.endpoint.address).await;
             settings.push(write_settings(folder, index, &link)?);
             store_links.push(link);
         }
@@ -266,8 +266,8 @@
 /// # Errors
 ///
 /// Fails if the working folder, a settings file or a process cannot be created.
-pub async fn run(plan: &Plan, builds: &Builds) -> Result<Verdict, CannotStart> {
-    let cannot_start = |cause| CannotStart { program: builds.daemon.clone(), cause };
+pub async fn run(plan: &Plan, builds: &Builds) -> Result<Verdict, StartError> {
+    let cannot_start = |cause| StartError { program: builds.daemon.clone(), cause };
     let folder =
         std::env::temp_dir().join(format!("holdpoint-soak-{}-{}", std::process::id(), plan.seed));
     std::fs::create_dir_all(&folder).map_err(cannot_start)?;
@@ -339,7 +339,7 @@
             |notified: &&Attempt| since <= notified.sent && notified.ended + LIMIT_GRACE_MS <= at;
         notified.iter().filter(|it| it.process == by.process).any(is_notified)
     })?;
-    let arrivals = it.target.notices().into_iter();
+    let arrivals = it.target.requests().into_iter();
     let arrivals = arrivals.filter(|it| (excess.from..=excess.to).contains(&it.at)).map(|it| {
         let from = attempt(&it.request).map_or(it.path, |it| format!("p{}", it.process));
         format!("{} {from} {}", clock.at(it.at), it.request)
@@ -352,7 +352,7 @@
 
 /// Requests whose answers carried the target's limit to their processes.
 fn limit_notices<'a>(target: &Target, attempts: &'a [Attempt]) -> Vec<&'a Attempt> {
-    let named = target.notices().into_iter().filter(|it| it.names_limit);
+    let named = target.requests().into_iter().filter(|it| it.has_limit);
     let named: HashSet<String> = named.map(|it| it.request).collect();
     let notified = attempts.iter().filter(|it| named.contains(&it.id));
     notified.filter(|it| it.is_answered_by(&target.id)).collect()
@@ -363,7 +363,7 @@
     let failed = fleet.failed_links.lock();
     let interruptions = fleet.interruptions.lock();
     let of_target = |(index, it): (usize, &ProxiedTarget)| {
-        let arrivals = it.target.notices().into_iter();
+        let arrivals = it.target.requests().into_iter();
         let arrivals = arrivals.map(|it| Arrival::new(fleet.clock.at(it.at), it)).collect();
         let outages = failed.iter().filter(|it| it.0 == index).map(|it| it.1.clone()).collect();
         judge_notices(
@@ -452,7 +452,7 @@
         let address = *fleet.callers.addresses[process].lock();
         if let Some(it) = address {
             let plain = call(it, request("/safe/")).await;
-            let staged = call(it, request("/staged/").with_pieces("1,1")).await;
+            let staged = call(it, request("/staged/").with_items("1,1")).await;
             if [plain, staged].into_iter().all(|it| it.is_some_and(|it| it.status == 200)) {
                 return;
             }
--- a/crates/holdpoint-soak/src/lib.rs
+++ b/crates/holdpoint-soak/src/lib.rs
@@ -28,7 +28,7 @@
 
 pub use crate::{
     callers::{Attempt, Outcome, Route},
-    fleet::{Builds, CannotStart, run},
+    fleet::{Builds, StartError, run},
     notices::{Arrival, Notices, judge_notices},
     plan::{Fault, FaultKind, LinkFault, Plan, TargetFault},
     verdict::{EventTimes, Finding, Invariant, Verdict, judge},
--- a/crates/holdpoint-soak/src/notices.rs
+++ b/crates/holdpoint-soak/src/notices.rs
@@ -32,8 +32,13 @@
 
 impl Arrival {
     pub(crate) fn new(at: Millis, arrival: standin::Arrival) -> Arrival {
-        let backoff_ms = arrival.rest.map(|it| it.as_millis() as Millis);
-        Arrival { at, request: arrival.request, has_drain_notice: arrival.says_leaving, backoff_ms }
+        let backoff_ms = arrival.backoff.map(|it| it.as_millis() as Millis);
+        Arrival {
+            at,
+            request: arrival.request,
+            has_drain_notice: arrival.has_drain_notice,
+            backoff_ms,
+        }
     }
 }
 
--- a/crates/holdpoint-soak/src/verdict.rs
+++ b/crates/holdpoint-soak/src/verdict.rs
@@ -88,7 +88,7 @@
 
 impl Verdict {
     /// Whether no invariant was violated.
-    pub fn is_kept(&self) -> bool {
+    pub fn is_passed(&self) -> bool {
         self.findings.is_empty()
     }
 
@@ -172,10 +172,10 @@
         report(Invariant::AtMostOnce, format!("ran at {}", targets.join(", ")));
     }
     for (target, run) in ran {
-        if run.line != attempt.request_line() || run.body != attempt.id.as_bytes() {
+        if run.request_line != attempt.request_line() || run.body != attempt.id.as_bytes() {
             report(
                 Invariant::Requested,
-                format!("{target} ran {} with another body or path", run.line),
+                format!("{target} ran {} with another body or path", run.request_line),
             );
         }
     }
--- a/crates/holdpoint-soak/tests/judge.rs
+++ b/crates/holdpoint-soak/tests/judge.rs
@@ -19,11 +19,11 @@
 fn run(of: &Attempt) -> Run {
     Run {
         request: of.id.clone(),
-        line: of.request_line(),
+        request_line: of.request_line(),
         headers: Default::default(),
         body: Bytes::from(of.id.clone()),
         at: std::time::Instant::now(),
-        is_bad: false,
+        is_faulty: false,
     }
 }
 
@@ -79,7 +79,7 @@
     let mut other = run(&sent);
     other.request = "r-2".to_owned();
     let mut changed = run(&sent);
-    changed.line = "POST /safe/".to_owned();
+    changed.request_line = "POST /safe/".to_owned();
     let runs = [("a".to_owned(), vec![other]), ("b".to_owned(), vec![changed])];
     let found = judge(&[sent], &runs, &EventTimes::default());
     assert_eq!(found.iter().map(|it| it.invariant).collect::<Vec<_>>(), [Invariant::Requested; 2]);
--- a/crates/holdpoint-standin/src/list.rs
+++ b/crates/holdpoint-standin/src/list.rs
@@ -88,7 +88,7 @@
     }
 
     /// Marks a target as draining.
-    pub fn leave_target(&self, address: &str) {
+    pub fn drain_target(&self, address: &str) {
         let mut current = self.inner.current.lock();
         let found = current.targets.iter_mut().find(|it| it.address == address);
         if let Some(it) = found {
--- a/crates/holdpoint-standin/src/relay.rs
+++ b/crates/holdpoint-standin/src/relay.rs
@@ -49,12 +49,12 @@
     }
 
     /// Sets the destination address of new connections.
-    pub fn lead_to(&self, target: &str) {
+    pub fn forward_to(&self, target: &str) {
         target.clone_into(&mut self.inner.target.lock());
     }
 
     /// Sets whether data to the destination (`calls`) and from it (`answers`) is silently dropped.
-    pub fn lose(&self, calls: bool, answers: bool) {
+    pub fn set_drops(&self, calls: bool, answers: bool) {
         self.inner.drops_calls.store(calls, Ordering::Release);
         self.inner.drops_answers.store(answers, Ordering::Release);
     }
--- a/crates/holdpoint-standin/src/target.rs
+++ b/crates/holdpoint-standin/src/target.rs
@@ -45,11 +45,11 @@
     /// Calls rejected with status 500 without being run.
     pub error: u32,
     /// Calls that are run but whose answer is truncated.
-    pub lose_answer: u32,
+    pub truncate_answer: u32,
     /// Calls that are accepted and never answered.
     pub hang: u32,
     /// Calls answered with the id of another attempt.
-    pub cross: u32,
+    pub swap_id: u32,
     /// Chunks sent twice.
     pub duplicate: u32,
     /// Pairs of chunks sent in the wrong order.
@@ -59,12 +59,12 @@
     /// Streams truncated between the last chunk and the end marker.
     pub cut_end: u32,
     /// Whether answers announce that the target is draining.
-    pub leaving: bool,
+    pub is_draining: bool,
 }
 
 /// Configuration of a target.
 #[derive(Clone, Debug)]
-pub struct TargetForm {
+pub struct TargetConfig {
     /// Pool of the target.
     pub pool: String,
     /// Failure domain.
@@ -105,7 +105,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    form: TargetForm,
+    form: TargetConfig,
     incarnation: String,
     faults: Mutex<TargetFaults>,
     rng: Mutex<ChaCha8Rng>,
@@ -128,7 +128,7 @@
 
 impl TargetStandin {
     /// Starts a target; `seed` determines which calls its faults affect.
-    pub async fn start(form: TargetForm, tally: Tally, seed: u64) -> TargetStandin {
+    pub async fn start(form: TargetConfig, tally: Tally, seed: u64) -> TargetStandin {
         let inner = Arc::new(Inner {
             incarnation: format!("{}-{seed}", form.pool),
             faults: Mutex::default(),
@@ -168,17 +168,17 @@
     }
 
     /// Wall-clock time of the last new call, in milliseconds since the Unix epoch.
-    pub fn last_call(&self) -> u64 {
+    pub fn last_call_ms(&self) -> u64 {
         self.inner.last_call.load(Ordering::Relaxed)
     }
 
     /// Orders that it has applied, in order.
-    pub fn followed(&self) -> Vec<AppliedOrder> {
+    pub fn applied_orders(&self) -> Vec<AppliedOrder> {
         self.inner.orders.lock().applied.clone()
     }
 
     /// Number of orders rejected because of their fencing token.
-    pub fn refused_orders(&self) -> u64 {
+    pub fn rejected_orders(&self) -> u64 {
         self.inner.orders.lock().rejected
     }
 
@@ -221,7 +221,7 @@
             HeaderValue::from_str(&it).expect("header value has only visible ASCII characters")
         };
         let attempt = headers.get("x-request-id").cloned().unwrap_or(value(String::new()));
-        let is_crossed = self.is_hit(faults.cross);
+        let is_crossed = self.is_hit(faults.swap_id);
         let echo = if is_crossed { value("other:1:0:0".to_owned()) } else { attempt };
         out.insert("x-request-id", echo);
         out.insert("target-incarnation", value(self.incarnation.clone()));
@@ -230,7 +230,7 @@
         let waiting = self.waiting.load(Ordering::Relaxed);
         let load = json!({ "running": running, "waiting": waiting });
         out.insert("target-load", value(load.to_string()));
-        if faults.leaving {
+        if faults.is_draining {
             out.insert("target-leaving", HeaderValue::from_static("true"));
         }
         reply
@@ -276,7 +276,7 @@
     if let Some(it) = key {
         inner.tally.complete_key(&inner.form.pool, &it, output.clone());
     }
-    if inner.is_hit(inner.faults.lock().lose_answer) {
+    if inner.is_hit(inner.faults.lock().truncate_answer) {
         return inner.with_headers(&headers, cost, truncated_response());
     }
     inner.with_headers(&headers, cost, Json(output).into_response())
--- a/crates/holdpoint/src/api.rs
+++ b/crates/holdpoint/src/api.rs
@@ -6,7 +6,7 @@
 use holdpoint_emulator::plot::{Texts, bars};
 use holdpoint_platform::{
     Http, OperatorClient,
-    operators::{ApiError, ChangeForm},
+    operators::{ApiError, ChangeOptions},
 };
 use holdpoint_schema::{
     Part,
@@ -121,7 +121,7 @@
     for resource in file.resources {
         let (kind, name) = (resource.kind.to_string(), resource.name);
         let spec = Value::Object(resource.spec);
-        let form = ChangeForm { base: resource.version, change: None };
+        let form = ChangeOptions { base: resource.version, change: None };
         let status = client.put(&kind, &name, &spec, &form).await?;
         print_change(&format!("{kind}/{name}"), &status)?;
     }
@@ -130,7 +130,7 @@
 
 async fn delete(client: &OperatorClient, matches: &ArgMatches) -> Result<(), Failure> {
     let (kind, name) = (argument(matches, "kind"), argument(matches, "name"));
-    let form = ChangeForm { base: matches.get_one("version").copied(), change: None };
+    let form = ChangeOptions { base: matches.get_one("version").copied(), change: None };
     let status = client.delete(kind, name, &form).await?;
     print_change(&format!("{kind}/{name}"), &status)
 }
--- a/crates/holdpoint/src/bench.rs
+++ b/crates/holdpoint/src/bench.rs
@@ -158,14 +158,14 @@
         it.changes.to_string(),
         format!("{:.1}", it.median_ms),
         format!("{:.1}", it.worst_ms),
-        format!("{:.1}", it.told_median_ms),
-        format!("{:.1}", it.told_worst_ms),
-        it.told_early.to_string(),
+        format!("{:.1}", it.reply_median_ms),
+        format!("{:.1}", it.reply_max_ms),
+        it.early_replies.to_string(),
     ];
     println!("{}", table(&header, vec![row]));
-    let rows = control::leaving().await;
-    let row = |it: &control::LeavingTimes| {
-        vec![it.sign.to_owned(), it.last_ms.to_string(), it.calls.to_string()]
+    let rows = control::draining().await;
+    let row = |it: &control::DrainTimes| {
+        vec![it.source.to_owned(), it.last_ms.to_string(), it.calls.to_string()]
     };
     let header = ["SIGN", "LAST NEW CALL AFTER MS", "NEW CALLS AFTER"];
     println!("{}", table(&header, rows.iter().map(row).collect()));
@@ -221,7 +221,7 @@
     }
     let mut rows = Vec::new();
     for n in [8, 32, 128, 350] {
-        let (bytes, rounds) = capacity::acknowledged(n);
+        let (bytes, rounds) = capacity::ack_cost(n);
         rows.push(vec![n.to_string(), format!("{bytes:.0}"), rounds.to_string()]);
     }
     let header = ["INSTANCES", "BYTES AN INSTANCE FOR ONE CHANGE", "ROUNDS"];
@@ -236,8 +236,8 @@
             format!("{:.1}", it.heartbeats),
             format!("{:.1}", it.log_reads),
             format!("{:.1}", it.memory / 1e6),
-            format!("{:.1}", it.in_force_ms.0),
-            format!("{:.1}", it.in_force_ms.1),
+            format!("{:.1}", it.active_ms.0),
+            format!("{:.1}", it.active_ms.1),
         ]);
     }
     let header = [
--- a/crates/holdpoint/src/demo.rs
+++ b/crates/holdpoint/src/demo.rs
@@ -7,8 +7,8 @@
     load::{self, Mix, Tally, Verdicts},
     world::{Plan, World},
 };
-use holdpoint_platform::operators::ChangeForm;
-use holdpointd::Ended;
+use holdpoint_platform::operators::ChangeOptions;
+use holdpointd::StopOutcome;
 use serde_json::json;
 
 use crate::{failure::Failure, output::table};
@@ -69,7 +69,7 @@
         disruptions.ended, disruptions.stop_ms
     );
     println!("{:.1} s in all", started.elapsed().as_secs_f64());
-    if disruptions.ended != Some(Ended::Drained) {
+    if disruptions.ended != Some(StopOutcome::Drained) {
         return Err(Failure::Unmet("the planned stop interrupted requests in flight".to_owned()));
     }
     match tally.broken() {
@@ -81,7 +81,7 @@
 /// Results of the operations performed while the load ran.
 struct Disruptions {
     policy_change_ms: u128,
-    ended: Option<Ended>,
+    ended: Option<StopOutcome>,
     stop_ms: u128,
 }
 
@@ -90,14 +90,14 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let asked = Instant::now();
     let spec = json!({ "route": "predicted", "retry_percent": 20 });
-    let change = world.put(0, "policies", "predicted", &spec, &ChangeForm::default()).await;
+    let change = world.put(0, "policies", "predicted", &spec, &ChangeOptions::default()).await;
     let policy_change_ms = asked.elapsed().as_millis();
     if let Err(it) = change {
         println!("the policy change failed: {it:?}");
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let asked = Instant::now();
-    let ended = if 1 < world.len() { world.stop(1).await } else { Some(Ended::Drained) };
+    let ended = if 1 < world.len() { world.stop(1).await } else { Some(StopOutcome::Drained) };
     let stop_ms = asked.elapsed().as_millis();
     world.start_instance("entry-replacement").await;
     Disruptions { policy_change_ms, ended, stop_ms }
--- a/crates/holdpoint/src/domains.rs
+++ b/crates/holdpoint/src/domains.rs
@@ -73,8 +73,8 @@
         // Skips records that cannot be parsed; instances ignore them too.
         if let Ok(Some(target)) = instances::parse(&record) {
             let domain = domains.entry(target.domain).or_default();
-            domain.targets += usize::from(!target.is_leaving);
-            domain.slots += if target.is_leaving { 0 } else { u64::from(target.slots) };
+            domain.targets += usize::from(!target.is_draining);
+            domain.slots += if target.is_draining { 0 } else { u64::from(target.slots) };
         }
     }
     let all_slots: u64 = domains.values().map(|it| it.slots).sum();
--- a/crates/holdpoint/src/failure.rs
+++ b/crates/holdpoint/src/failure.rs
@@ -4,7 +4,7 @@
 
 use holdpoint_emulator::plot::PlotError;
 use holdpoint_platform::operators::ApiError;
-use holdpoint_soak::CannotStart;
+use holdpoint_soak::StartError;
 use serde_json::Value;
 
 /// Error of a command.
@@ -25,7 +25,7 @@
     /// A benchmark, check or roll-out did not reach its expected result.
     Unmet(String),
     /// The daemon under soak test cannot be started.
-    Soak(CannotStart),
+    Soak(StartError),
     /// A plot cannot be drawn or written.
     Plot(PlotError),
 }
--- a/crates/holdpoint/src/judge.rs
+++ b/crates/holdpoint/src/judge.rs
@@ -5,7 +5,7 @@
 use clap::ArgMatches;
 use holdpoint_emulator::{
     plot::{Series, Texts, lines},
-    policies::{ARMOR, ARMS, Outcome, PRAIRIE, Setup, Trouble, User, run_all},
+    policies::{ARMOR, ARMS, Outcome, PRAIRIE, Scenario, Setup, User, run_all},
 };
 
 use crate::{bench::number, failure::Failure, output::table};
@@ -23,7 +23,7 @@
         user,
         arm,
         load,
-        trouble,
+        scenario: trouble,
         seed: 0,
         instances: number(matches, "instances"),
         seconds: number(matches, "seconds") as u64,
@@ -31,9 +31,9 @@
     let mut setups = Vec::new();
     for user in USERS {
         for arm in ARMS {
-            setups.extend(LOADS_PERCENT.iter().map(|it| setup(user, arm, *it, Trouble::None)));
+            setups.extend(LOADS_PERCENT.iter().map(|it| setup(user, arm, *it, Scenario::None)));
         }
-        for trouble in [Trouble::SlowStage, Trouble::FailingTenth, Trouble::SlowQuarter] {
+        for trouble in [Scenario::SlowStage, Scenario::FailingTenth, Scenario::SlowQuarter] {
             setups.extend(ARMS.iter().map(|it| setup(user, *it, TROUBLE_LOAD_PERCENT, trouble)));
         }
     }
@@ -50,13 +50,13 @@
     if failed.is_empty() { Ok(()) } else { Err(Failure::Unmet(failed.join("; "))) }
 }
 
-fn is_case(it: &Setup, user: &User, load: u32, trouble: Trouble) -> bool {
-    it.user.name == user.name && it.load == load && it.trouble == trouble
+fn is_case(it: &Setup, user: &User, load: u32, trouble: Scenario) -> bool {
+    it.user.name == user.name && it.load == load && it.scenario == trouble
 }
 
 fn print_user(user: &User, all: &[(Setup, Outcome)]) {
-    let troubles = [Trouble::SlowStage, Trouble::FailingTenth, Trouble::SlowQuarter];
-    let cases = LOADS_PERCENT.iter().map(|it| (*it, Trouble::None));
+    let troubles = [Scenario::SlowStage, Scenario::FailingTenth, Scenario::SlowQuarter];
+    let cases = LOADS_PERCENT.iter().map(|it| (*it, Scenario::None));
     for (load, trouble) in cases.chain(troubles.map(|it| (TROUBLE_LOAD_PERCENT, it))) {
         println!("{} at {load} %, trouble: {trouble:?}", user.name);
         let rows = all.iter().filter(|it| is_case(&it.0, user, load, trouble)).map(row).collect();
@@ -94,16 +94,16 @@
 /// Lists the expectations that the outcomes do not meet.
 fn failures(all: &[(Setup, Outcome)]) -> Vec<String> {
     let mut failed = Vec::new();
-    let outcome_of = |user: &User, arm: &str, load: u32, trouble: Trouble| {
+    let outcome_of = |user: &User, arm: &str, load: u32, trouble: Scenario| {
         let found =
             all.iter().find(|it| is_case(&it.0, user, load, trouble) && it.0.arm.name == arm);
         found.map(|it| it.1).unwrap_or_default()
     };
     for user in USERS {
         let cases = [
-            (130, Trouble::None),
-            (TROUBLE_LOAD_PERCENT, Trouble::SlowStage),
-            (TROUBLE_LOAD_PERCENT, Trouble::FailingTenth),
+            (130, Scenario::None),
+            (TROUBLE_LOAD_PERCENT, Scenario::SlowStage),
+            (TROUBLE_LOAD_PERCENT, Scenario::FailingTenth),
         ];
         for (load, trouble) in cases {
             let ours = outcome_of(user, ARMS[0].name, load, trouble).attainment();
@@ -116,7 +116,7 @@
                 }
             }
         }
-        let goodput = |load| outcome_of(user, ARMS[0].name, load, Trouble::None).goodput();
+        let goodput = |load| outcome_of(user, ARMS[0].name, load, Scenario::None).goodput();
         if goodput(200) < goodput(100) {
             failed.push(format!("{}: goodput falls from 100 to 200 %", user.name));
         }
@@ -128,7 +128,7 @@
     let series = ARMS.iter().map(|arm| {
         let points = all
             .iter()
-            .filter(|it| it.0.arm.name == arm.name && it.0.trouble == Trouble::None)
+            .filter(|it| it.0.arm.name == arm.name && it.0.scenario == Scenario::None)
             .filter(|it| it.0.user.name == PRAIRIE.name)
             .map(|it| (f64::from(it.0.load), it.1.goodput()))
             .collect();
--- a/crates/holdpoint/src/regions.rs
+++ b/crates/holdpoint/src/regions.rs
@@ -72,7 +72,7 @@
         // Skips records that cannot be parsed; instances ignore them too.
         let Ok(Some(target)) = instances::parse(&record) else { continue };
         let region = regions.entry(region_of(&target.domain)).or_default();
-        if target.is_leaving || is_evacuated(&target.domain) {
+        if target.is_draining || is_evacuated(&target.domain) {
             region.held += 1;
         } else {
             region.targets += 1;
--- a/crates/holdpoint/src/rollouts.rs
+++ b/crates/holdpoint/src/rollouts.rs
@@ -164,7 +164,7 @@
     for record in newest(store, TARGETS_TOPIC).await? {
         // Skips records that cannot be parsed; instances ignore them too.
         if let Ok(Some(it)) = instances::parse(&record)
-            && !it.is_leaving
+            && !it.is_draining
         {
             *rows.entry(it.service).or_default().targets.entry(it.version).or_default() += 1;
         }
--- a/crates/holdpoint/tests/domains.rs
+++ b/crates/holdpoint/tests/domains.rs
@@ -41,7 +41,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_is_listed_evacuated_and_restored() {
     let store = Store::start().await;
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     store.put_configuration(&sample_configuration(1));
     let targets = [
         Target::start("i-0", "plain", Behaviour::Answer).await,
@@ -72,7 +72,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_name_and_a_silent_store_have_exit_codes_of_their_own() {
     let store = Store::start().await;
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     for bad in ["", "a\nb", &"x".repeat(201)] {
         let output = run(&address, &["evacuate", bad]).await;
         assert_eq!(output.status.code(), Some(2), "{output:?}");
--- a/crates/holdpoint/tests/experiments.rs
+++ b/crates/holdpoint/tests/experiments.rs
@@ -34,7 +34,7 @@
         "instance": name, "domain": "z1",
         "listen": { "callers": "127.0.0.1:0", "readiness": "127.0.0.1:0", "peers": "127.0.0.1:0",
             "metrics": "127.0.0.1:0" },
-        "store": { "address": store.gate.address.to_string(), "poll_ms": 50, "timeout_ms": 300 },
+        "store": { "address": store.endpoint.address.to_string(), "poll_ms": 50, "timeout_ms": 300 },
     });
     Ingress::start(serde_json::from_value(settings).unwrap()).unwrap()
 }
@@ -88,7 +88,7 @@
     tokio::time::timeout(CONDITION_TIMEOUT, ready)
         .await
         .expect("the instances did not become ready within the timeout");
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     let declare = |args: &[&str]| {
         let fixed = ["declare", "--store", &address];
         run(fixed.iter().chain(args).map(|it| (*it).to_owned()).collect())
@@ -132,7 +132,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resource_with_a_fault_is_named_and_nothing_is_written() {
     let store = Store::start().await;
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     let resources = file(
         "faulty.json",
         &json!({ "resources": [
--- a/crates/holdpoint/tests/regions.rs
+++ b/crates/holdpoint/tests/regions.rs
@@ -30,7 +30,7 @@
         targets.push(target);
     }
     store.evacuate("z3");
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     let settings = json!({
         "instance": "a", "domain": "z1", "region": "east",
         "regions": { "z1": "east", "z2": "north", "z3": "north" },
--- a/crates/holdpoint/tests/rollouts.rs
+++ b/crates/holdpoint/tests/rollouts.rs
@@ -53,7 +53,7 @@
         "instance": "a", "domain": "z1",
         "listen": { "callers": "127.0.0.1:0", "readiness": "127.0.0.1:0", "peers": "127.0.0.1:0",
             "metrics": "127.0.0.1:0" },
-        "store": { "address": store.gate.address.to_string(), "poll_ms": 50, "timeout_ms": 300 },
+        "store": { "address": store.endpoint.address.to_string(), "poll_ms": 50, "timeout_ms": 300 },
     });
     let instance = Ingress::start(serde_json::from_value(settings).unwrap()).unwrap();
     wait_until(|| instance.is_ready() && instance.target_count() == 2).await;
@@ -63,7 +63,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_version_is_waited_for_and_its_end_has_an_exit_code() {
     let (store, instance, _targets) = start(Behaviour::Fail).await;
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     let callers = instance.listen().callers.parse().unwrap();
     let calling = tokio::spawn(async move {
         for id in 0.. {
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_is_listed_and_withdrawn() {
     let (store, _instance, _targets) = start(Behaviour::Answer).await;
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     assert_eq!(list(&address).await, json!({}));
     let output = run(&address, &["start", "plain", "v2", "--within", "1m"]).await;
     assert!(output.status.success(), "{output:?}");
@@ -98,7 +98,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_be_ordered_is_refused() {
     let (store, _instance, _targets) = start(Behaviour::Answer).await;
-    let address = store.gate.address.to_string();
+    let address = store.endpoint.address.to_string();
     for bad in [
         vec!["start", "nobody", "v2"],
         vec!["start", "plain", ""],
--- a/crates/holdpointd/src/control/changes.rs
+++ b/crates/holdpointd/src/control/changes.rs
@@ -115,7 +115,7 @@
     let Some(verdict) = state.verdict(&change) else {
         return ChangeStatus { change, state: ChangeState::Unknown, version: None, missing };
     };
-    let state = if verdict.won {
+    let state = if verdict.is_applied {
         missing = view.missing(verdict.offset);
         if missing.is_empty() { ChangeState::Accepted } else { ChangeState::Pending }
     } else {
--- a/crates/holdpointd/src/control/claim_stream.rs
+++ b/crates/holdpointd/src/control/claim_stream.rs
@@ -5,7 +5,7 @@
 
 use holdpoint_core::{
     batch::Batcher,
-    claims::{ClaimTable, Claimant, Standing},
+    claims::{ClaimStatus, ClaimTable, Claimant},
     ids::{Millis, Offset},
     membership::View,
 };
@@ -120,7 +120,7 @@
         for reply in self.append_replies.drain(..) {
             let _ = reply.send(true);
         }
-        self.batcher.landed();
+        self.batcher.complete_append();
         let now = self.shared.clock.now();
         self.answer_pending(now, view);
         self.append_next(now);
@@ -139,7 +139,7 @@
         let is_quiet = self.pending_claims.is_empty()
             && self.batcher.is_empty()
             && self.append_replies.is_empty();
-        is_quiet && self.batcher.is_settled() && self.last_used + idle_ms < now
+        is_quiet && self.batcher.is_idle() && self.last_used + idle_ms < now
     }
 
     /// Answers calls whose key has a final state or whose deadline has passed.
@@ -164,12 +164,12 @@
         if !self.is_caught_up {
             return answer_if_expired(pending, is_expired, ClaimReply::Silent);
         }
-        match self.table.standing(&pending.key, &pending.body_hash, &pending.requester) {
-            Standing::Won(offset) => answer(pending, ClaimReply::Won(offset)),
-            Standing::Done(it) => answer(pending, ClaimReply::Done(it)),
-            Standing::Unknown => answer(pending, ClaimReply::Unknown),
-            Standing::Mismatch => answer(pending, ClaimReply::Mismatch),
-            Standing::Free => {
+        match self.table.status(&pending.key, &pending.body_hash, &pending.requester) {
+            ClaimStatus::Won(offset) => answer(pending, ClaimReply::Won(offset)),
+            ClaimStatus::Done(it) => answer(pending, ClaimReply::Done(it)),
+            ClaimStatus::Unknown => answer(pending, ClaimReply::Unknown),
+            ClaimStatus::Mismatch => answer(pending, ClaimReply::Mismatch),
+            ClaimStatus::Free => {
                 if !pending.is_queued && !is_expired {
                     let step = ClaimStep::Claim(ClaimBody { body_hash: pending.body_hash.clone() });
                     self.batcher.push(entry(&pending, &pending.requester, step));
@@ -177,7 +177,7 @@
                 }
                 answer_if_expired(pending, is_expired, ClaimReply::Silent)
             }
-            Standing::Held(holder) => {
+            ClaimStatus::Held(holder) => {
                 // A claim that lost has no effect. If the holder releases the key, this call must claim it
                 // again.
                 pending.is_queued = false;
--- a/crates/holdpointd/src/control/exchange.rs
+++ b/crates/holdpointd/src/control/exchange.rs
@@ -17,7 +17,7 @@
 use crate::{
     control::{Control, Input},
     metrics::label,
-    peers::PeerSilent,
+    peers::PeerUnavailable,
     shared::Shared,
 };
 
@@ -75,7 +75,7 @@
         if self.last_expiry + timing.heartbeat_ms <= now {
             self.last_expiry = now;
             let watched: Vec<String> = self.neighbours.keys().cloned().collect();
-            view.bury(now, timing.dead_ms, &watched);
+            view.stop_silent(now, timing.dead_ms, &watched);
         }
     }
 
@@ -173,7 +173,7 @@
         &mut self,
         peer: &str,
         asked_at: Millis,
-        result: Result<Option<Digest>, PeerSilent>,
+        result: Result<Option<Digest>, PeerUnavailable>,
     ) {
         let digest = result.ok().flatten();
         self.exchange.record_result(peer, asked_at, digest.is_some());
--- a/crates/holdpointd/src/control/mod.rs
+++ b/crates/holdpointd/src/control/mod.rs
@@ -42,7 +42,7 @@
         watchers::Watchers,
     },
     events::{self, emit},
-    peers::PeerSilent,
+    peers::PeerUnavailable,
     shared::Shared,
 };
 
@@ -61,27 +61,73 @@
 
 /// Inputs of the control thread.
 pub(crate) enum Input {
-    Adopt { state: Box<State>, from_peer: bool, asked_at: Millis },
-    Records { batch: Batch, asked_at: Millis },
+    Adopt {
+        state: Box<State>,
+        from_peer: bool,
+        asked_at: Millis,
+    },
+    Records {
+        batch: Batch,
+        asked_at: Millis,
+    },
     LogSilent,
     Listing(Listing),
     SameListing,
     ListSilent,
-    Heartbeat { digest: Digest, reply: oneshot::Sender<Digest> },
-    HeartbeatEnded { peer: String, asked_at: Millis, result: Result<Option<Digest>, PeerSilent> },
-    Appended { offset: Offset },
-    Change { change: Change, reply: oneshot::Sender<ChangeStatus> },
-    ChangeStatus { change: String, reply: oneshot::Sender<ChangeStatus> },
-    Resources { kind: String, name: Option<Name>, reply: oneshot::Sender<Vec<Listed>> },
-    Watch { kind: String, from: Offset, reply: oneshot::Sender<WatchStart> },
-    TargetLeaving(LeavingTarget),
-    Claim { ask: ClaimAsk, reply: oneshot::Sender<ClaimReply> },
-    Settle { settle: Settle, reply: oneshot::Sender<bool> },
-    ClaimRecords { stream: u32, batch: Batch },
-    ClaimsAppended { stream: u32, offset: Offset },
-    RoundEnded { planners: Planners },
+    Heartbeat {
+        digest: Digest,
+        reply: oneshot::Sender<Digest>,
+    },
+    HeartbeatEnded {
+        peer: String,
+        asked_at: Millis,
+        result: Result<Option<Digest>, PeerUnavailable>,
+    },
+    Appended {
+        offset: Offset,
+    },
+    Change {
+        change: Change,
+        reply: oneshot::Sender<ChangeStatus>,
+    },
+    ChangeStatus {
+        change: String,
+        reply: oneshot::Sender<ChangeStatus>,
+    },
+    Resources {
+        kind: String,
+        name: Option<Name>,
+        reply: oneshot::Sender<Vec<Listed>>,
+    },
+    Watch {
+        kind: String,
+        from: Offset,
+        reply: oneshot::Sender<WatchStart>,
+    },
+    TargetDraining(LeavingTarget),
+    Claim {
+        ask: ClaimAsk,
+        reply: oneshot::Sender<ClaimReply>,
+    },
+    Settle {
+        settle: Settle,
+        reply: oneshot::Sender<bool>,
+    },
+    ClaimRecords {
+        stream: u32,
+        batch: Batch,
+    },
+    ClaimsAppended {
+        stream: u32,
+        offset: Offset,
+    },
+    RoundEnded {
+        planners: Planners,
+    },
     SnapshotPartAppended,
-    Snapshot { reply: oneshot::Sender<Option<Snapshot>> },
+    Snapshot {
+        reply: oneshot::Sender<Option<Snapshot>>,
+    },
     Stop,
     Drained,
 }
@@ -209,7 +255,7 @@
             Input::Watch { kind, from, reply } => {
                 drop(reply.send(self.watchers.start(&kind, from, &self.state)));
             }
-            Input::TargetLeaving(it) => self.set_target_draining(&it),
+            Input::TargetDraining(it) => self.set_target_draining(&it),
             Input::Claim { ask, reply } => self.claims.ask(ask, reply, &self.view),
             Input::Settle { settle, reply } => self.claims.settle(&settle, reply),
             Input::ClaimRecords { stream, batch } => {
@@ -371,18 +417,18 @@
         self.view.set_listed(live.map(|it| (it.name.clone(), it.peers.clone())).collect());
         let now = self.shared.clock.now();
         for target in listing.targets.iter().filter(|it| it.state == ListState::Leaving) {
-            self.view.set_leaving(&target.address, &target.incarnation, now);
+            self.view.set_draining(&target.address, &target.incarnation, now);
         }
         self.is_dirty |= self.listing.as_ref() != Some(&listing);
         self.listing = Some(listing);
     }
 
     fn set_target_draining(&mut self, target: &LeavingTarget) {
-        if self.view.is_leaving(&target.address, &target.incarnation) {
+        if self.view.is_draining(&target.address, &target.incarnation) {
             return;
         }
-        emit(events::TARGET_LEAVING, &self.shared.settings.instance, &target.address);
-        self.view.set_leaving(&target.address, &target.incarnation, self.shared.clock.now());
+        emit(events::TARGET_DRAINING, &self.shared.settings.instance, &target.address);
+        self.view.set_draining(&target.address, &target.incarnation, self.shared.clock.now());
         self.is_dirty = true;
     }
 
--- a/crates/holdpointd/src/control/placement.rs
+++ b/crates/holdpointd/src/control/placement.rs
@@ -129,7 +129,7 @@
     catalog: &Catalog,
     shared: &Shared,
 ) -> Vec<(Name, Placement, Checks, Arc<Vec<Member>>)> {
-    let view = shared.now();
+    let view = shared.published();
     let placements = catalog.placements.iter().filter_map(|(name, it)| {
         let checks = catalog.pools.get(&it.spec.pool)?.spec.checks;
         let members = members_of(&view.targets, &it.spec.pool);
@@ -180,7 +180,7 @@
 
 /// States of the engines that answer. Engines that do not answer get no orders.
 async fn engine_states(shared: &Shared, members: &[Member]) -> Vec<EngineState> {
-    let not_draining = members.iter().filter(|it| !it.leaving);
+    let not_draining = members.iter().filter(|it| !it.is_draining);
     let reports = not_draining.map(|it| async move {
         let report = shared.engines.report(&it.address).await.ok()?;
         let (address, holds) = (it.address.clone(), report.holds);
--- a/crates/holdpointd/src/control/publish.rs
+++ b/crates/holdpointd/src/control/publish.rs
@@ -48,9 +48,9 @@
                 if members.iter().any(|it| it.address == target.address) {
                     continue;
                 }
-                let leaving = self.view.leaving_at(&target.address).is_some();
+                let leaving = self.view.draining_at(&target.address).is_some();
                 let (address, domain) = (target.address.clone(), target.domain.clone());
-                members.push(Member { address, domain, leaving, held: false });
+                members.push(Member { address, domain, is_draining: leaving, is_evacuated: false });
             }
             pools.insert(name.clone(), Arc::new(members));
         }
@@ -58,12 +58,12 @@
     }
 
     fn listed_member(&self, target: &ListedTarget) -> Member {
-        let is_draining = self.view.is_leaving(&target.address, &target.incarnation);
+        let is_draining = self.view.is_draining(&target.address, &target.incarnation);
         Member {
             address: target.address.clone(),
             domain: target.domain.clone(),
-            leaving: is_draining || target.state == ListState::Leaving,
-            held: false,
+            is_draining: is_draining || target.state == ListState::Leaving,
+            is_evacuated: false,
         }
     }
 
--- a/crates/holdpointd/src/control/tail.rs
+++ b/crates/holdpointd/src/control/tail.rs
@@ -75,7 +75,7 @@
                 }
                 StartState::Silent => tokio::time::sleep(RETRY_DELAY).await,
             },
-            Err(ReadError::Silent) => {
+            Err(ReadError::Unavailable) => {
                 if shared.control.send(Input::LogSilent).await.is_err() {
                     return;
                 }
@@ -106,7 +106,7 @@
                 }
             }
             Err(ReadError::Expired { first }) => next = first,
-            Err(ReadError::Silent) => tokio::time::sleep(RETRY_DELAY).await,
+            Err(ReadError::Unavailable) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -155,7 +155,7 @@
 async fn restore(shared: &Shared, first: Offset) -> StartState {
     let parts = match snapshot_parts(shared).await {
         Ok(it) => it,
-        Err(ReadError::Silent) => return StartState::Silent,
+        Err(ReadError::Unavailable) => return StartState::Silent,
         Err(ReadError::Expired { .. }) => return StartState::Gap,
     };
     let mut snapshots: BTreeMap<(Offset, &str), Vec<&Snapshot>> = BTreeMap::new();
--- a/crates/holdpointd/src/events.rs
+++ b/crates/holdpointd/src/events.rs
@@ -63,11 +63,11 @@
     /// A member joined, changed its phase or stopped.
     MEMBER = 400 Info "member changed";
     /// A target is draining.
-    TARGET_LEAVING = 401 Info "target is draining";
+    TARGET_DRAINING = 401 Info "target is draining";
     /// The instance list cannot be read.
     LIST_SILENT = 402 Warn "instance list cannot be read";
     /// An answer belonged to another attempt and was discarded.
-    CROSSED = 500 Error "answer of another attempt discarded";
+    WRONG_ATTEMPT = 500 Error "answer of another attempt discarded";
     /// A call that may not be repeated has an unknown outcome.
     OUTCOME_UNKNOWN = 501 Error "outcome unknown";
     /// The instance that holds a claim is gone and recorded no outcome.
@@ -91,13 +91,13 @@
     /// A peer does not answer.
     PEER_SILENT = 607 Warn "peer does not answer";
     /// The machine was suspended. The monotonic clock and its timers did not count that time.
-    WOKEN = 616 Warn "machine was suspended";
+    SUSPENDED = 616 Warn "machine was suspended";
     /// The store was restored from an older copy; later writes are lost.
-    STORE_RETURNED = 617 Warn "store was restored from an older copy";
+    STORE_ROLLED_BACK = 617 Warn "store was restored from an older copy";
     /// The settings file was read again.
     RELOADED = 608 Info "settings read again";
     /// This instance began to read the store, or began to follow another instance that reads it.
-    READING = 609 Info "store reader role changed";
+    READER_ROLE_CHANGED = 609 Info "store reader role changed";
     /// A target's entry expired while the store was unavailable.
     TARGET_LAPSED = 610 Info "target entry expired";
     /// An operator declared or removed a policy or a trial.
@@ -120,19 +120,19 @@
     /// A region that a configuration names, or the region of a target's failure domain, is unknown.
     REGION_UNKNOWN = 641 Warn "region not known";
     /// Capacity of a service was lent to another region.
-    PLACES_LENT = 630 Info "capacity lent";
+    CAPACITY_LENT = 630 Info "capacity lent";
     /// Capacity of a service was requested from another region.
-    PLACES_BORROWED = 631 Info "capacity requested from another region";
+    CAPACITY_REQUESTED = 631 Info "capacity requested from another region";
     /// A request is sent to another region, since it would be late in its own.
     SPILLED = 632 Info "request sent to another region";
     /// A request that will be late stays in its region.
     NOT_SPILLED = 633 Info "late request stays in its region";
     /// Work items were refused, since every target that serves them is in an evacuated failure domain.
-    PIECES_EVACUATED = 709 Info "work items have no target left";
+    ITEMS_EVACUATED = 709 Info "work items have no target left";
     /// Work items were refused, since every target that serves them is draining.
-    PIECES_LEFT = 712 Info "every target of the work items is draining";
+    ITEMS_DRAINING = 712 Info "every target of the work items is draining";
     /// Work items were refused, since every target that serves them has asked this instance to back off.
-    PIECES_BACK_OFF = 713 Info "every target of the work items is in backoff";
+    ITEMS_IN_BACKOFF = 713 Info "every target of the work items is in backoff";
     /// An operator ordered the roll-out of a version, or withdrew the order.
     ROLLOUT_ORDERED = 750 Info "roll-out ordered or withdrawn";
     /// A roll-out began a phase.
@@ -148,17 +148,17 @@
     /// A quarantined request is sent to targets again.
     QUARANTINE_ENDED = 761 Info "quarantine ended";
     /// A request was refused, since it is quarantined.
-    REFUSED_HELD = 762 Info "quarantined request refused";
+    REFUSED_QUARANTINED = 762 Info "quarantined request refused";
     /// A target was probed, since a connection on which it ran requests broke.
-    TARGET_LOOKED_FOR = 763 Info "target probed";
+    TARGET_PROBED = 763 Info "target probed";
     /// A target announced, changed or withdrew its limit of requests per second.
-    LIMIT_NAMED = 770 Info "target's rate limit changed";
+    TARGET_LIMIT_CHANGED = 770 Info "target's rate limit changed";
     /// The rate limit that a target announced cannot be read.
     BAD_LIMIT = 771 Warn "target's rate limit cannot be read";
     /// A request was not sent to a target, since the target's rate limit is reached.
     LIMIT_REACHED = 772 Info "target's rate limit reached";
     /// An answer of a target announced that the target is draining.
-    LEAVING_NOTICE = 780 Info "target announced that it is draining";
+    DRAIN_NOTICE = 780 Info "target announced that it is draining";
     /// A target rejected a request and asked this instance to back off.
     BACKOFF_REQUESTED = 781 Info "target requests backoff";
     /// The backoff time that a target requested cannot be read.
@@ -174,15 +174,15 @@
     /// A stage was refused, since its results would be late.
     STAGE_REFUSED = 707 Info "stage refused";
     /// Queued work items were handed over to the instance that batches them now.
-    HANDED_PIECES_OVER = 708 Info "work items handed over";
+    ITEMS_HANDED_OVER = 708 Info "work items handed over";
     /// An answer was aborted, since its caller did not read it for too long.
-    UNREAD = 711 Warn "caller does not read its answer";
+    ANSWER_UNREAD = 711 Warn "caller does not read its answer";
     /// The load of a service that an instance reported is implausible. The previous value stays in use.
-    LOAD_NOT_USED = 720 Warn "reported load ignored";
+    REPORTED_LOAD_IGNORED = 720 Warn "reported load ignored";
     /// A request that will be late was admitted; it uses capacity that requests in time leave.
     ADMITTED_LATE = 721 Info "admitted late";
     /// A stream was interrupted at its target.
-    STREAM_MOVED = 704 Info "stream broke off at its target";
+    STREAM_INTERRUPTED = 704 Info "stream broke off at its target";
     /// A request was denied before it had a route.
     REQUEST_DENIED = 705 Info "request denied";
     /// A request ended.
--- a/crates/holdpointd/src/ingress/answer.rs
+++ b/crates/holdpointd/src/ingress/answer.rs
@@ -12,18 +12,18 @@
 
 /// A target's answer ended early, so that the caller's connection is closed as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BrokenOff;
+pub(crate) struct EndedEarly;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for EndedEarly {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the target's answer ended early")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for EndedEarly {}
 
 /// Body of an answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, EndedEarly>;
 /// An answer.
 pub(crate) type Answer = Response<AnswerBody>;
 
@@ -62,12 +62,12 @@
 
 /// The system's own answer to a failure.
 pub(crate) fn failure(failure: Failure, request_id: Option<&str>) -> Answer {
-    own_answer(failure.status(), headers::own_answer(request_id, None))
+    own_answer(failure.status(), headers::own_response_headers(request_id, None))
 }
 
 /// A refusal, which requires proof that the request has not run and never will.
 pub(crate) fn refusal(_proof: NotRun, request_id: Option<&str>, retry_after: Duration) -> Answer {
-    let headers = headers::own_answer(request_id, Some(retry_after));
+    let headers = headers::own_response_headers(request_id, Some(retry_after));
     own_answer(StatusCode::SERVICE_UNAVAILABLE, headers)
 }
 
@@ -87,7 +87,7 @@
 /// A target's answer that is forwarded while it arrives.
 pub(crate) fn streamed(
     head: &http::response::Parts,
-    frames: impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> + Send + 'static,
+    frames: impl Stream<Item = Result<Frame<Bytes>, EndedEarly>> + Send + 'static,
 ) -> Answer {
     let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
     *answer.status_mut() = head.status;
--- a/crates/holdpointd/src/ingress/attempts.rs
+++ b/crates/holdpointd/src/ingress/attempts.rs
@@ -7,7 +7,7 @@
     directory::{TargetId, TargetInstance},
     ids::{Millis, Name},
     rollout::Lane,
-    route::{Call, End, NoTarget},
+    route::{Call, CallOutcome, NoTarget},
 };
 
 use crate::{
@@ -16,10 +16,10 @@
         backoff,
         context::Context,
         limits::{self, Assignment, Permit},
-        peer_service::{LIMITS, PromptAsk},
-        peers::PLACE_LIMIT,
-        regions::{limit_for, owner_of},
-        rollouts::Running,
+        peer_service::{PromptRequest, RATE_LIMIT_PROTOCOL},
+        peers::TARGET_CHOICE_TIMEOUT,
+        regions::{call_timeout, owner_of},
+        rollouts::InFlightSend,
         stages,
     },
     metrics::label,
@@ -27,7 +27,7 @@
 
 /// Retry-After of a request whose service has no target, or only draining ones: about the time from the start
 /// of a target until it is listed.
-pub(crate) const NONE_LEFT_RETURN_MS: Millis = 1000;
+pub(crate) const NONE_LEFT_RETRY_MS: Millis = 1000;
 
 /// The sends made for one request, bounded by its route's attempts and the retry budget.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     tried: Vec<String>,
     sends: u32,
     /// The current send, while a version is rolled out.
-    running: Option<Running>,
+    running: Option<InFlightSend>,
 }
 
 /// A target that was chosen for a send.
@@ -101,7 +101,7 @@
             StopCause::Limited(ms) | StopCause::BackingOff(ms) => {
                 Duration::from_millis(ms).max(usual)
             }
-            StopCause::NoneLeft => Duration::from_millis(NONE_LEFT_RETURN_MS),
+            StopCause::NoneLeft => Duration::from_millis(NONE_LEFT_RETRY_MS),
             _ => usual,
         }
     }
@@ -128,7 +128,7 @@
         }
         // The request may have been quarantined since its admission. Without this check, one that crashed its
         // last target would go on to crash the next.
-        if ctx.held_for().is_some() {
+        if ctx.quarantine_left().is_some() {
             return Err(StopCause::Quarantined);
         }
         self.running = None;
@@ -138,8 +138,8 @@
             return Err(StopCause::Budget);
         }
         self.sends += 1;
-        self.running = Running::begin(ctx, &target);
-        ctx.pool.sent(now, &target.id, &ctx.call(&[]));
+        self.running = InFlightSend::begin(ctx, &target);
+        ctx.pool.record_sent(now, &target.id, &ctx.call(&[]));
         ctx.record_send(&target.id);
         let moved = Call { inputs, ..ctx.call(&[]) }.moved_bytes(&target.domain);
         let detail = format!(
@@ -148,7 +148,7 @@
             target.id,
             self.sends,
             moved / 1000,
-            ctx.shared.limits.shown(&target.id),
+            ctx.shared.limits.log_suffix(&target.id),
         );
         ctx.shared.metrics.moved_bytes.add(moved, &[label("to", "engine")]);
         emit(events::SENT, &ctx.shared.settings.instance, &detail);
@@ -170,11 +170,11 @@
             return self.choose(ctx, inputs).await;
         }
         let tried = self.tried.clone();
-        self.tried.extend(rollouts.closed(now, &ctx.service, lane));
+        self.tried.extend(rollouts.excluded_targets(now, &ctx.service, lane));
         let mut chosen = self.choose(ctx, inputs).await;
         if chosen.is_err() && lane == Lane::New {
             self.tried = tried.clone();
-            self.tried.extend(rollouts.closed(now, &ctx.service, Lane::Old));
+            self.tried.extend(rollouts.excluded_targets(now, &ctx.service, Lane::Old));
             chosen = self.choose(ctx, inputs).await;
         }
         self.tried = tried;
@@ -193,7 +193,7 @@
         loop {
             let is_placer = ctx.is_placer();
             let within = ctx.within();
-            let share = ctx.shared.pools.share(is_placer);
+            let share = ctx.shared.pools.cold_share(is_placer);
             let call = Call { share, inputs, within: within.as_deref(), ..ctx.call(&self.tried) };
             let (policy, region) = (ctx.policy(), ctx.call_region());
             let choosing =
@@ -214,7 +214,7 @@
                         tokio::time::sleep(it).await;
                         continue;
                     }
-                    None => return Err(StopCause::BackingOff(backoff::return_ms(ms))),
+                    None => return Err(StopCause::BackingOff(backoff::retry_after_ms(ms))),
                 },
                 Err(NoTarget::Cold(ms)) if ctx.may_wait_for(ms) => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
@@ -256,22 +256,22 @@
                 return Ok(None);
             };
             let is_unconstrained = within.is_none() && prompt.avoided.is_empty();
-            let limit = limit_for(&ctx.shared, &region, PLACE_LIMIT);
+            let limit = call_timeout(&ctx.shared, &region, TARGET_CHOICE_TIMEOUT);
             let peers = &ctx.shared.peers;
-            let assignment = if peers.protocol_of(&address) < LIMITS {
+            let assignment = if peers.protocol_of(&address) < RATE_LIMIT_PROTOCOL {
                 let placed = peers.place(&ctx.shared, &address, &ctx.service, prompt, limit);
-                placed.await.map(|target| Assignment::To { target, is_taken: false })
+                placed.await.map(|target| Assignment::To { target, is_counted: false })
             } else {
                 let ask = (prompt, ctx.longest_wait_ms());
                 peers.assign(&ctx.shared, &address, &ctx.service, ask, limit).await
             };
             match assignment {
-                Some(Assignment::To { target, is_taken }) => {
+                Some(Assignment::To { target, is_counted: is_taken }) => {
                     let Some(target) = ctx.open_target(&target) else { return Ok(None) };
                     let permit = if is_taken {
                         Ok(Permit::assigned())
                     } else {
-                        limits::ask(&ctx.shared, &target).await
+                        limits::acquire(&ctx.shared, &target).await
                     };
                     let reason = format!("placed_by={address}");
                     // A refused permit means that the placing peer did not know the target's limit. The request
@@ -305,7 +305,7 @@
         ctx: &Context,
         inputs: &[(Name, u64)],
         ejected: &[TargetId],
-    ) -> Option<PromptAsk> {
+    ) -> Option<PromptRequest> {
         let call = ctx.call(&self.tried);
         let mut avoided: Vec<TargetId> = ejected.iter().chain(&self.tried).cloned().collect();
         // The placing peer doesn't know which targets have asked this instance to back off.
@@ -314,7 +314,7 @@
         avoided.extend(backoffs.of_service(now, &ctx.service).map(|it| it.0.clone()));
         drop(backoffs);
         let confinement = ctx.within().map_or_else(Confinement::default, |it| it.confinement());
-        Some(PromptAsk {
+        Some(PromptRequest {
             work: call.work,
             prefix_work: call.prefix_work,
             prefix: call.prefix?,
@@ -335,7 +335,7 @@
     pub(crate) fn never_sent(&mut self, ctx: &Context) {
         self.uncount();
         if self.sends != 0 {
-            ctx.pool.take_back();
+            ctx.pool.refund();
         }
     }
 }
@@ -353,9 +353,9 @@
         Err(NoTarget::Confined) => return Err(StopCause::Confined),
         // A shorter backoff may end while the stages run.
         Err(NoTarget::BackingOff(ms))
-            if stages::usual_total_ms(ctx) + ctx.longest_wait_ms() < ms =>
+            if stages::expected_total_ms(ctx) + ctx.longest_wait_ms() < ms =>
         {
-            return Err(StopCause::BackingOff(backoff::return_ms(ms)));
+            return Err(StopCause::BackingOff(backoff::retry_after_ms(ms)));
         }
         _ => (),
     }
@@ -373,15 +373,20 @@
 }
 
 /// Records the end of a send in its pool, and logs it unless the send succeeded.
-pub(crate) fn end_send(ctx: &Context, target: &TargetInstance, end: End, cause: &'static str) {
+pub(crate) fn end_send(
+    ctx: &Context,
+    target: &TargetInstance,
+    end: CallOutcome,
+    cause: &'static str,
+) {
     let is_slow = || ctx.pool.is_slow(ctx.shared.clock.now(), &target.id);
     // Two timeouts in a row would eject a target that has announced that it is slow.
-    let end = if cause == "silent" && is_slow() { End::Dropped } else { end };
-    ctx.pool.ended(ctx.shared.clock.now(), &target.id, ctx.call(&[]).work, end);
-    ctx.shared.rollouts.answered(ctx, target, end, cause);
+    let end = if cause == "silent" && is_slow() { CallOutcome::Cancelled } else { end };
+    ctx.pool.record_end(ctx.shared.clock.now(), &target.id, ctx.call(&[]).work, end);
+    ctx.shared.rollouts.send_ended(ctx, target, end, cause);
     let labels = [label("service", ctx.service.as_str()), label("end", cause)];
     ctx.shared.metrics.attempts.add(1, &labels);
-    if !matches!(end, End::Whole(_)) {
+    if !matches!(end, CallOutcome::Completed(_)) {
         let detail = format!(
             "id={} target={} cause={cause} ms={} fingerprint={}",
             ctx.request.id,
--- a/crates/holdpointd/src/ingress/backoff.rs
+++ b/crates/holdpointd/src/ingress/backoff.rs
@@ -13,7 +13,7 @@
 
 /// Retry-After of a refused request, in milliseconds, where the first backoff ends in `soonest`. Randomised, so
 /// that the end of a backoff causes no burst.
-pub(crate) fn return_ms(soonest: Millis) -> Millis {
+pub(crate) fn retry_after_ms(soonest: Millis) -> Millis {
     let spread = ((soonest as f64 * RETRY_SPREAD) as Millis).max(MIN_SPREAD_MS);
     soonest + rand::random_range(0..=spread)
 }
--- a/crates/holdpointd/src/ingress/batches.rs
+++ b/crates/holdpointd/src/ingress/batches.rs
@@ -20,16 +20,16 @@
 
 use futures::{StreamExt, stream::FuturesUnordered};
 use holdpoint_core::{
-    batcher::{Batcher, Judgement},
+    batcher::{Batcher, PredictionSample},
     directory::{Directory, TargetId, TargetInstance},
     evacuation::Evacuations,
     ids::{Millis, Name},
     ingress::Service,
-    pieces::{Call, CallEnd, Sizes, Ticket, Waiting},
-    promises::{Promises, StageLoad},
+    pieces::{Call, CallEnd, CallProfile, QueuedItem, Ticket},
+    promises::{AdmittedWork, StageLoad},
     rollout::Lane,
     route::Load,
-    stage_graph::{NoResult, PieceWork},
+    stage_graph::{NoResult, WorkItem},
     topology::Topology,
 };
 use holdpoint_platform::Instant;
@@ -39,10 +39,10 @@
 use crate::{
     events::{self, emit},
     ingress::{
-        attempts::NONE_LEFT_RETURN_MS,
+        attempts::NONE_LEFT_RETRY_MS,
         backoff, confinement,
         limits::{self, Permit},
-        piece_ask::{PieceAsk, PieceResult},
+        piece_ask::{ItemRequest, ItemResult},
         regions::own_batcher_of,
         shared::IngressShared,
     },
@@ -57,7 +57,7 @@
 };
 
 struct Pending {
-    work: PieceWork,
+    work: WorkItem,
     /// Route of its request.
     route: Name,
     deadline: Instant,
@@ -67,7 +67,7 @@
     inputs: Arc<GroupInputs>,
     /// Whether the target of its call is assumed to have fetched the inputs.
     is_fetched: AtomicBool,
-    reply: oneshot::Sender<PieceResult>,
+    reply: oneshot::Sender<ItemResult>,
 }
 
 /// The queue of one service on this instance: its batcher, and the items that wait for a call.
@@ -87,7 +87,7 @@
 }
 
 impl ServiceQueue {
-    fn new(sizes: Sizes) -> ServiceQueue {
+    fn new(sizes: CallProfile) -> ServiceQueue {
         ServiceQueue {
             batcher: Batcher::new(sizes),
             pending: HashMap::new(),
@@ -112,7 +112,7 @@
     /// Replaces the service's targets. If none can take calls, waiting items are refused at once.
     fn set_targets(&mut self, targets: &Targets) {
         self.set_lane(None, &[], targets);
-        self.batcher.set_spare(targets.far.iter().map(String::as_str));
+        self.batcher.set_fallback(targets.far.iter().map(String::as_str));
         self.update_open(targets);
     }
 
@@ -139,7 +139,7 @@
     fn update_open(&mut self, targets: &Targets) {
         self.is_evacuated = targets.is_evacuated();
         if self.is_evacuated {
-            let tickets = self.batcher.hand_over();
+            let tickets = self.batcher.take_all();
             self.answer(&tickets, NoResult::Overload(EVACUATED_RETRY_MS));
         }
         // An empty list means that the targets crashed and may restart soon, unless they were draining.
@@ -147,11 +147,11 @@
             self.all_draining = targets.all_draining();
         }
         if self.all_draining {
-            let tickets = self.batcher.hand_over();
-            self.answer(&tickets, NoResult::Overload(NONE_LEFT_RETURN_MS));
+            let tickets = self.batcher.take_all();
+            self.answer(&tickets, NoResult::Overload(NONE_LEFT_RETRY_MS));
         }
-        let stranded = self.batcher.take_stranded();
-        self.answer(&stranded, NoResult::Overload(confinement::RETURN_MS));
+        let stranded = self.batcher.take_unplaceable();
+        self.answer(&stranded, NoResult::Overload(confinement::RETRY_AFTER_MS));
     }
 
     /// Fails items that are no longer queued. Their requests may have ended already.
@@ -189,7 +189,7 @@
     targets: Mutex<HashMap<Name, Targets>>,
     loads: Mutex<StageLoads>,
     /// Work that requests admitted here will bring to later stages.
-    promises: Mutex<Promises>,
+    promises: Mutex<AdmittedWork>,
     next_ticket: AtomicU64,
 }
 
@@ -214,7 +214,8 @@
         topology: &Topology,
     ) {
         let mut targets: HashMap<Name, Targets> = HashMap::new();
-        let is_open = |it: &TargetInstance| !it.is_leaving && !evacuations.is_evacuated(&it.domain);
+        let is_open =
+            |it: &TargetInstance| !it.is_draining && !evacuations.is_evacuated(&it.domain);
         let near = directory.all().filter(|it| is_open(it) && topology.is_near(&it.domain));
         let near: HashSet<&str> = near.map(|it| it.service.as_str()).collect();
         for it in directory.all() {
@@ -267,18 +268,18 @@
     }
 
     /// Queues items on this instance and waits for their results, which are in the order of the items.
-    pub(crate) async fn make(
+    pub(crate) async fn process(
         &self,
         shared: &Arc<IngressShared>,
         service: &str,
-        requests: Vec<PieceAsk>,
-    ) -> Vec<PieceResult> {
+        requests: Vec<ItemRequest>,
+    ) -> Vec<ItemResult> {
         let count = requests.len();
         let replies = match self.offer(shared, service, requests) {
             Ok(it) => it,
             Err(it) => return vec![Err(it); count],
         };
-        pump(shared, service);
+        start_calls(shared, service);
         gather(replies).await
     }
 
@@ -286,8 +287,8 @@
         &self,
         shared: &IngressShared,
         service: &str,
-        mut requests: Vec<PieceAsk>,
-    ) -> Result<Vec<oneshot::Receiver<PieceResult>>, NoResult> {
+        mut requests: Vec<ItemRequest>,
+    ) -> Result<Vec<oneshot::Receiver<ItemResult>>, NoResult> {
         let configuration = shared.configuration();
         let sizes = configuration.services.get(service).and_then(|it| sizes(it));
         let sizes = sizes.ok_or(NoResult::Unreachable)?;
@@ -309,7 +310,11 @@
             let (reply, answer) = oneshot::channel();
             replies.push(answer);
             let within = inputs.within.clone();
-            let item = Waiting { within, is_alone, ..queue_entry(&request, ticket, group, now) };
+            let item = QueuedItem {
+                within,
+                is_isolated: is_alone,
+                ..queue_entry(&request, ticket, group, now)
+            };
             queue.batcher.offer(now, item);
             let deadline = offered + Duration::from_millis(request.left_ms);
             let inputs = inputs.clone();
@@ -338,12 +343,17 @@
     }
 
     /// Applies load reports of services that this or other instances batch for.
-    pub(crate) fn told(&self, shared: &IngressShared, now: Millis, loads: Vec<(Name, StageLoad)>) {
+    pub(crate) fn apply_loads(
+        &self,
+        shared: &IngressShared,
+        now: Millis,
+        loads: Vec<(Name, StageLoad)>,
+    ) {
         let mut promises = self.promises.lock();
         for (service, load) in loads {
             let detail = format!("service={service} load={load:?}");
-            if !promises.told(now, &service, load) {
-                emit(events::LOAD_NOT_USED, &shared.settings.instance, &detail);
+            if !promises.apply_report(now, &service, load) {
+                emit(events::REPORTED_LOAD_IGNORED, &shared.settings.instance, &detail);
             }
         }
     }
@@ -370,7 +380,7 @@
         &self,
         services: &'a mut HashMap<Name, ServiceQueue>,
         service: &str,
-        sizes: Sizes,
+        sizes: CallProfile,
     ) -> &'a mut ServiceQueue {
         services.entry(service.to_owned()).or_insert_with(|| {
             let mut queue = ServiceQueue::new(sizes);
@@ -384,7 +394,7 @@
     /// Records that results were released at the targets that stored them.
     pub(crate) fn record_released(&self, service: &str, handles: &[String]) {
         if let Some(it) = self.services.lock().get_mut(service) {
-            handles.iter().for_each(|handle| it.batcher.released(handle));
+            handles.iter().for_each(|handle| it.batcher.record_released(handle));
         }
     }
 
@@ -397,7 +407,7 @@
         let tickets = queue.batcher.expire(now);
         if !tickets.is_empty() {
             let backoff_ms = queue.batcher.backoff_ms(now);
-            let later = backoff_ms.map(|it| NoResult::Overload(backoff::return_ms(it)));
+            let later = backoff_ms.map(|it| NoResult::Overload(backoff::retry_after_ms(it)));
             queue.answer(&tickets, later.unwrap_or(NoResult::Late));
         }
     }
@@ -423,10 +433,10 @@
         let now = shared.clock.now();
         let mut services = self.services.lock();
         let queue = services.get_mut(service)?;
-        let items = u64::from(queue.batcher.sizes().pieces);
-        let lane = shared.rollouts.piece_lane(now, service, items);
+        let items = u64::from(queue.batcher.sizes().max_items);
+        let lane = shared.rollouts.item_lane(now, service, items);
         if lane != queue.lane {
-            let closed = shared.rollouts.closed(now, service, lane.unwrap_or(Lane::Any));
+            let closed = shared.rollouts.excluded_targets(now, service, lane.unwrap_or(Lane::Any));
             let targets = self.targets.lock().get(service).cloned().unwrap_or_default();
             queue.set_lane(lane, &closed, &targets);
         }
@@ -442,10 +452,10 @@
             .target(&call.target)
             .and_then(|it| limits::acquire_local(shared, &it))
             .and_then(Result::ok);
-        shared.rollouts.pieces_sent(service, &call.target, call.pieces.len() as u64);
+        shared.rollouts.items_sent(service, &call.target, call.items.len() as u64);
         let items: Vec<Pending> =
-            call.pieces.iter().filter_map(|it| pending.remove(&it.ticket)).collect();
-        let timeout_ms = batcher.patience_ms(now, &call.target, call.pieces.len());
+            call.items.iter().filter_map(|it| pending.remove(&it.ticket)).collect();
+        let timeout_ms = batcher.timeout_ms(now, &call.target, call.items.len());
         Some(NextCall { call, permit, items, timeout_ms })
     }
 
@@ -455,33 +465,39 @@
         service: &str,
         call: &Call,
         end: CallEnd,
-        results: &[PieceResult],
-    ) -> Option<Judgement> {
+        results: &[ItemResult],
+    ) -> Option<PredictionSample> {
         let now = shared.clock.now();
         let handles: Vec<Option<&str>> =
             results.iter().map(|it| it.as_ref().ok().map(String::as_str)).collect();
         let mut services = self.services.lock();
         let it = services.get_mut(service)?;
         let judgement = match end {
-            CallEnd::Answered(ms) => it.batcher.judge(now, call, ms),
+            CallEnd::Answered(ms) => it.batcher.record_duration(now, call, ms),
             _ => None,
         };
-        it.batcher.ended(now, call, end, &handles);
+        it.batcher.record_end(now, call, end, &handles);
         if results.contains(&Err(NoResult::NoRoom)) {
-            it.batcher.no_room(now, &call.target);
+            it.batcher.record_no_room(now, &call.target);
         }
         judgement
     }
 
     /// Records the load that a target reported with a response that ended `answered` calls.
-    pub(crate) fn report(&self, now: Millis, target: &TargetInstance, load: Load, answered: u32) {
+    pub(crate) fn record_load(
+        &self,
+        now: Millis,
+        target: &TargetInstance,
+        load: Load,
+        answered: u32,
+    ) {
         if let Some(it) = self.services.lock().get_mut(&target.service) {
-            it.batcher.told_load(now, &target.id, load, answered);
+            it.batcher.record_load(now, &target.id, load, answered);
         }
     }
 
     /// Puts an item that was not processed back into the queue.
-    fn requeue(&self, now: Millis, service: &str, waiting: Waiting, pending: Pending) {
+    fn requeue(&self, now: Millis, service: &str, waiting: QueuedItem, pending: Pending) {
         let mut services = self.services.lock();
         let Some(queue) = services.get_mut(service) else { return };
         if pending.is_fetched.swap(false, Ordering::AcqRel) {
@@ -500,7 +516,7 @@
             let was_owner = std::mem::replace(&mut queue.is_owner, is_owner);
             let has_report =
                 || shared.pools.of(shared.clock.now(), name).has_owner_report(shared.clock.now());
-            let is_draining = shared.peers.is_leaving();
+            let is_draining = shared.peers.is_draining();
             let was_draining = std::mem::replace(&mut queue.was_draining, is_draining);
             if queue.batcher.waiting() == 0 {
                 continue;
@@ -511,12 +527,12 @@
             let is_draining_now = is_draining && !was_draining;
             let tickets = queue
                 .batcher
-                .take_back(|it| if it.within.is_some() { is_draining_now } else { is_moving });
+                .take_if(|it| if it.within.is_some() { is_draining_now } else { is_moving });
             if tickets.is_empty() {
                 continue;
             }
             let detail = format!("service={name} pieces={}", tickets.len());
-            emit(events::HANDED_PIECES_OVER, &shared.settings.instance, &detail);
+            emit(events::ITEMS_HANDED_OVER, &shared.settings.instance, &detail);
             queue.answer(&tickets, NoResult::Moved);
         }
     }
@@ -537,7 +553,7 @@
 
 /// Collects the results of items that were requested together. Once one of them has missed its deadline, the
 /// others are of no use and are not waited for.
-async fn gather(replies: Vec<oneshot::Receiver<PieceResult>>) -> Vec<PieceResult> {
+async fn gather(replies: Vec<oneshot::Receiver<ItemResult>>) -> Vec<ItemResult> {
     let mut results = vec![Err(NoResult::Late); replies.len()];
     let indexed = replies.into_iter().enumerate();
     let mut waiting: FuturesUnordered<_> =
@@ -552,17 +568,17 @@
 }
 
 /// Hands over and prunes waiting items, then starts the calls that targets have capacity for.
-pub(crate) fn pump_all(shared: &Arc<IngressShared>) {
+pub(crate) fn start_all_calls(shared: &Arc<IngressShared>) {
     shared.batches.hand_over(shared);
     shared.batches.prune_and_measure(shared.clock.now());
-    shared.take_stage_loads(shared.batches.stage_loads());
+    shared.apply_stage_loads(shared.batches.stage_loads());
     for service in shared.batches.services_with_work() {
-        pump(shared, &service);
+        start_calls(shared, &service);
     }
 }
 
 /// Starts as many calls of a service as its targets have capacity for.
-pub(crate) fn pump(shared: &Arc<IngressShared>, service: &str) {
+pub(crate) fn start_calls(shared: &Arc<IngressShared>, service: &str) {
     shared.batches.expire(shared, service);
     while let Some(it) = shared.batches.next_call(shared, service) {
         let call = (it.call, it.permit);
@@ -570,13 +586,13 @@
     }
 }
 
-fn sizes(service: &Service) -> Option<Sizes> {
+fn sizes(service: &Service) -> Option<CallProfile> {
     let limits = service.batches.as_ref()?;
-    Some(Sizes {
-        calls: limits.calls,
-        pieces: limits.pieces,
+    Some(CallProfile {
+        max_calls: limits.calls,
+        max_items: limits.items,
         call_ms: limits.call_ms,
-        piece_ms: limits.piece_ms,
+        item_ms: limits.item_ms,
         room_bytes: limits.room_bytes,
         keep_ms: limits.keep_ms,
     })
--- a/crates/holdpointd/src/ingress/batches/admit.rs
+++ b/crates/holdpointd/src/ingress/batches/admit.rs
@@ -1,17 +1,17 @@
 //! Admission of requests that have used no capacity yet, and the conversion of their items to queue entries.
 
 use holdpoint_core::{
-    admission::{FirstAsk, Objective, Verdict, decide},
+    admission::{FirstStageRequest, Objective, Verdict, decide},
     batcher::Batcher,
     ids::Millis,
-    pieces::{Ticket, Waiting},
-    promises::{Expected, Promises},
+    pieces::{QueuedItem, Ticket},
+    promises::{AdmittedWork, ChainEstimate},
     stage_graph::NoResult,
 };
 
 use crate::{
     events::{self, emit},
-    ingress::{piece_ask::PieceAsk, shared::IngressShared},
+    ingress::{piece_ask::ItemRequest, shared::IngressShared},
 };
 
 /// Refuses the items of a request that has used no capacity yet and would miss its time limits.
@@ -19,19 +19,19 @@
     shared: &IngressShared,
     service: &str,
     batcher: &mut Batcher,
-    promises: &mut Promises,
+    promises: &mut AdmittedWork,
     now: Millis,
-    requests: &[PieceAsk],
+    requests: &[ItemRequest],
 ) -> Result<(), NoResult> {
     let Some(first) = requests.first().filter(|it| it.is_refusable) else { return Ok(()) };
     let at = |in_ms: i64| now.saturating_add_signed(in_ms);
-    let request = FirstAsk {
+    let request = FirstStageRequest {
         due: at(first.due_in_ms),
         late_due: at(late_due_in_ms(first)),
-        pieces: requests.len(),
+        items: requests.len(),
         ahead: first.chain.as_ref().map_or(&[], |it| &it.stages),
         end: at(first.chain.as_ref().map_or(first.due_in_ms, |it| it.end_in_ms)),
-        objective: Objective { late_worth: shared.settings.decisions.objective.late_worth },
+        objective: Objective { late_value: shared.settings.decisions.objective.late_worth },
         deadline: at(first.chain.as_ref().map_or(late_due_in_ms(first), |it| it.deadline_in_ms)),
     };
     let (expected, by, excess) = match decide(now, batcher, promises, &request) {
@@ -40,12 +40,12 @@
             return Err(NoResult::OnlyLate);
         }
         Verdict::InTime(_) | Verdict::Late(_) => return Ok(()),
-        Verdict::Refused { expected, by, excess } => (expected, by, excess),
+        Verdict::Refused { expected, bottleneck: by, excess } => (expected, by, excess),
     };
     let later = by.as_ref().and_then(|by| request.ahead.iter().find(|it| it.service == *by));
     let return_ms = match later {
-        Some(it) => promises.return_ms(now, &it.service, excess, it.pieces),
-        None => batcher.return_ms(now, request.due, requests.len()),
+        Some(it) => promises.retry_after_ms(now, &it.service, excess, it.items),
+        None => batcher.retry_after_ms(now, request.due, requests.len()),
     };
     let detail = format!(
         "id={} service={service} stage={} expected_ms={expected} due_in_ms={} end_in_ms={} waiting={} \
@@ -63,8 +63,8 @@
 fn log_late_admission(
     shared: &IngressShared,
     service: &str,
-    first: &PieceAsk,
-    expected: &Expected,
+    first: &ItemRequest,
+    expected: &ChainEstimate,
 ) {
     let detail = format!(
         "id={} service={service} stage={} expected_ms={:.0} spread_ms={:.0} end_in_ms={}",
@@ -77,13 +77,18 @@
     emit(events::ADMITTED_LATE, &shared.settings.instance, &detail);
 }
 
-fn late_due_in_ms(request: &PieceAsk) -> i64 {
+fn late_due_in_ms(request: &ItemRequest) -> i64 {
     request.late_due_in_ms.unwrap_or(request.deadline_in_ms)
 }
 
 /// Converts an item request to a queue entry.
-pub(super) fn queue_entry(request: &PieceAsk, ticket: Ticket, group: u64, now: Millis) -> Waiting {
-    Waiting {
+pub(super) fn queue_entry(
+    request: &ItemRequest,
+    ticket: Ticket,
+    group: u64,
+    now: Millis,
+) -> QueuedItem {
+    QueuedItem {
         ticket,
         group,
         due: now.saturating_add_signed(request.due_in_ms),
@@ -94,6 +99,6 @@
         domain: request.domain.clone(),
         near_bytes: request.near_bytes,
         inputs_until: request.inputs_for_ms.map(|it| now + it),
-        ..Waiting::default()
+        ..QueuedItem::default()
     }
 }
--- a/crates/holdpointd/src/ingress/batches/calls.rs
+++ b/crates/holdpointd/src/ingress/batches/calls.rs
@@ -1,6 +1,6 @@
 //! Sends calls to targets, delivers the results of their items, and logs each call.
 
-use super::{Pending, pump};
+use super::{Pending, start_calls};
 use std::{
     collections::HashSet,
     sync::{Arc, atomic::Ordering},
@@ -9,10 +9,10 @@
 
 use holdpoint_adapter::stages as wire;
 use holdpoint_core::{
-    batcher::Judgement,
+    batcher::PredictionSample,
     directory::TargetInstance,
     ids::{Millis, Name},
-    pieces::{Call, CallEnd, Waiting},
+    pieces::{Call, CallEnd, QueuedItem},
     quarantine::Fingerprint,
     rollout::Answer,
     stage_graph::NoResult,
@@ -23,12 +23,12 @@
 use crate::{
     events::{self, emit},
     ingress::{
-        gate::{Barred, Payload},
+        gate::{Payload, SendBlock},
         limits::{self, Permit},
-        piece_ask::PieceResult,
-        send::{NoAnswer, OwnCall, left, own_call},
+        piece_ask::ItemResult,
+        send::{InternalCall, InternalCallError, internal_call, time_until},
         shared::IngressShared,
-        stages::FETCHED,
+        stages::INPUT_FETCH_TIME,
     },
     metrics::label,
 };
@@ -55,7 +55,7 @@
         Ok(it) => (it, CallEnd::Answered(ms), "answered"),
         Err(CallEnd::Full) => (Vec::new(), CallEnd::Full, "full"),
         Err(_) if timeout_ms.max(MIN_CALL_TIMEOUT_MS) <= ms => {
-            (Vec::new(), CallEnd::Silent(ms), "silent")
+            (Vec::new(), CallEnd::TimedOut(ms), "silent")
         }
         Err(_) => (Vec::new(), CallEnd::Failed, "failed"),
     };
@@ -65,12 +65,12 @@
     let judgement = shared.batches.record_end(&shared, &service, &call, end, &results);
     log_call(&shared, &service, &call, &items, &results, (begun, ms, text), judgement);
     let mut results = results.into_iter();
-    for (waiting, item) in call.pieces.into_iter().zip(items) {
+    for (waiting, item) in call.items.into_iter().zip(items) {
         let usual = if end == CallEnd::Full { NoResult::NoRoom } else { NoResult::Failed };
         let result = results.next().unwrap_or(Err(usual));
         deliver(&shared, &service, waiting, item, result);
     }
-    pump(&shared, &service);
+    start_calls(&shared, &service);
 }
 
 /// A call that returned no results.
@@ -94,7 +94,7 @@
     shared: &IngressShared,
     service: &str,
     items: &[Pending],
-    outcome: &Result<Vec<PieceResult>, CallFailure>,
+    outcome: &Result<Vec<ItemResult>, CallFailure>,
 ) {
     let requests = |is_match: &dyn Fn(usize) -> bool| -> HashSet<Fingerprint> {
         let its = items.iter().enumerate().filter(|it| is_match(it.0));
@@ -103,11 +103,13 @@
     match outcome {
         Ok(results) => {
             let is_made = |index| matches!(results.get(index), Some(Ok(_)));
-            requests(&is_made).into_iter().for_each(|it| shared.quarantines.passed(service, || it));
+            requests(&is_made)
+                .into_iter()
+                .for_each(|it| shared.quarantines.request_completed(service, || it));
         }
         Err(CallFailure { lost_target: Some(target), .. }) => {
             let all = requests(&|_| true).into_iter();
-            all.for_each(|it| shared.quarantines.broke_off(it, target));
+            all.for_each(|it| shared.quarantines.connection_broken(it, target));
         }
         Err(_) => (),
     }
@@ -120,19 +122,19 @@
     service: &str,
     call: &Call,
     items: &[Pending],
-    results: &[PieceResult],
+    results: &[ItemResult],
     (end, ms): (CallEnd, Millis),
 ) {
-    let percent = (100.0 * ms as f64 / call.sizes.stated_ms(items.len()).max(1.0)) as Millis;
+    let percent = (100.0 * ms as f64 / call.sizes.nominal_ms(items.len()).max(1.0)) as Millis;
     for (index, item) in items.iter().enumerate() {
         let answer = match (end, results.get(index)) {
             (CallEnd::Full, _) => Answer::Refused,
-            (CallEnd::Silent(_), _) => Answer::Silent,
+            (CallEnd::TimedOut(_), _) => Answer::TimedOut,
             (CallEnd::Failed, _) | (_, Some(Err(NoResult::Failed))) => Answer::Failed,
             (_, Some(Ok(_))) => Answer::Good((!shared.is_cold(&call.target)).then_some(percent)),
             _ => continue,
         };
-        shared.rollouts.piece_answered(service, &call.target, &item.route, answer);
+        shared.rollouts.item_answered(service, &call.target, &item.route, answer);
     }
 }
 
@@ -144,12 +146,12 @@
     (call, permit): (&Call, Option<Permit>),
     items: &[Pending],
     timeout_ms: Millis,
-) -> Result<Vec<PieceResult>, CallFailure> {
+) -> Result<Vec<ItemResult>, CallFailure> {
     let calling = call_target(shared, (call, permit), items, timeout_ms);
     tokio::pin!(calling);
     let outcome = tokio::select! {
         it = &mut calling => it,
-        () = sleep(FETCHED), if !call.is_shared => {
+        () = sleep(INPUT_FETCH_TIME), if !call.is_shared => {
             release_inputs(shared, items);
             return calling.await;
         }
@@ -174,9 +176,9 @@
 fn deliver(
     shared: &IngressShared,
     service: &str,
-    waiting: Waiting,
+    waiting: QueuedItem,
     mut item: Pending,
-    result: PieceResult,
+    result: ItemResult,
 ) {
     if result == Err(NoResult::NoRoom) && item.requeues < MAX_REQUEUES {
         item.requeues += 1;
@@ -194,16 +196,16 @@
     service: &str,
     call: &Call,
     items: &[Pending],
-    results: &[PieceResult],
+    results: &[ItemResult],
     (begun, ms, end): (Instant, Millis, &'static str),
-    judgement: Option<Judgement>,
+    judgement: Option<PredictionSample>,
 ) {
     let waited = items.iter().map(|it| (begun - it.offered).as_millis()).max().unwrap_or(0);
     let made = results.iter().filter(|it| it.is_ok()).count();
     let no_room = results.iter().filter(|it| **it == Err(NoResult::NoRoom)).count();
     let prediction = judgement.map_or(String::new(), |it| {
         let load = if call.has_backlog() { "backlog" } else { "calm" };
-        shared.metrics.predicted(service, load, it.predicted_ms, it.took_ms);
+        shared.metrics.record_prediction(service, load, it.predicted_ms, it.took_ms);
         format!(" load={load} predicted_ms={:.0} took_ms={:.0}", it.predicted_ms, it.took_ms)
     });
     let moved = moved_bytes(shared, call);
@@ -213,25 +215,25 @@
          end={end}{prediction}",
         call.target,
         items.len(),
-        call.sizes.pieces,
+        call.sizes.max_items,
         call.left,
         call.used_bytes / 1000,
         call.sizes.room_bytes / 1000,
         moved / 1000,
-        call.sizes.stated_ms(items.len()),
+        call.sizes.nominal_ms(items.len()),
         call.is_shared,
     );
     emit(events::BATCH, &shared.settings.instance, &detail);
     shared.metrics.batches.add(1, &[label("end", end)]);
-    shared.metrics.pieces.add(items.len() as u64, &[label("end", end)]);
+    shared.metrics.items.add(items.len() as u64, &[label("end", end)]);
     shared.metrics.moved_bytes.add(moved, &[label("to", "stage")]);
 }
 
 /// Bytes that a call transfers between failure domains.
 fn moved_bytes(shared: &IngressShared, call: &Call) -> u64 {
     let domain = shared.open_target(&call.target).map(|it| it.domain);
-    let is_moved = |it: &&Waiting| !it.domain.is_empty() && Some(&it.domain) != domain.as_ref();
-    call.pieces.iter().filter(is_moved).map(|it| it.near_bytes).sum()
+    let is_moved = |it: &&QueuedItem| !it.domain.is_empty() && Some(&it.domain) != domain.as_ref();
+    call.items.iter().filter(is_moved).map(|it| it.near_bytes).sum()
 }
 
 async fn call_target(
@@ -239,21 +241,26 @@
     (call, permit): (&Call, Option<Permit>),
     items: &[Pending],
     timeout_ms: Millis,
-) -> Result<Vec<PieceResult>, CallFailure> {
+) -> Result<Vec<ItemResult>, CallFailure> {
     let target = shared.open_target(&call.target).ok_or(CallEnd::Full)?;
     let permit = match permit {
         Some(it) => it,
-        None => limits::ask(shared, &target).await.map_err(|_| CallEnd::Full)?,
+        None => limits::acquire(shared, &target).await.map_err(|_| CallEnd::Full)?,
     };
-    let body =
-        wire::run_body(items.iter().map(|it| (&it.work, left(it.deadline).as_millis() as Millis)));
+    let body = wire::run_body(
+        items.iter().map(|it| (&it.work, time_until(it.deadline).as_millis() as Millis)),
+    );
     let limit = Duration::from_millis(timeout_ms.max(MIN_CALL_TIMEOUT_MS));
-    let call = OwnCall { path: wire::RUN_PATH, body, payload: Payload::Pieces };
-    let answer = own_call(shared, (&target, permit), call, limit).await;
+    let call = InternalCall { path: wire::RUN_PATH, body, payload: Payload::Items };
+    let answer = internal_call(shared, (&target, permit), call, limit).await;
     let (status, head, body) = answer.map_err(|it| CallFailure {
-        end: if matches!(it, NoAnswer::Barred(_)) { CallEnd::Full } else { CallEnd::Failed },
-        lost_target: (it == NoAnswer::Broken).then(|| target.clone()),
-        is_backoff: it == NoAnswer::Barred(Barred::BackingOff),
+        end: if matches!(it, InternalCallError::Blocked(_)) {
+            CallEnd::Full
+        } else {
+            CallEnd::Failed
+        },
+        lost_target: (it == InternalCallError::Broken).then(|| target.clone()),
+        is_backoff: it == InternalCallError::Blocked(SendBlock::BackingOff),
     })?;
     if head.notice.backoff.is_requested() {
         return Err(CallFailure { end: CallEnd::Full, lost_target: None, is_backoff: true });
--- a/crates/holdpointd/src/ingress/batches/inputs.rs
+++ b/crates/holdpointd/src/ingress/batches/inputs.rs
@@ -5,7 +5,7 @@
 use holdpoint_core::{confinement::Within, ids::Name, quarantine::Fingerprint};
 use parking_lot::Mutex;
 
-use crate::ingress::{piece_ask::PieceAsk, shared::IngressShared};
+use crate::ingress::{piece_ask::ItemRequest, shared::IngressShared};
 
 /// State shared by items that were requested together.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
 }
 
 impl GroupInputs {
-    pub(super) fn new(requests: &mut [PieceAsk], within: Within) -> GroupInputs {
+    pub(super) fn new(requests: &mut [ItemRequest], within: Within) -> GroupInputs {
         let fingerprint = requests.first().and_then(|it| it.fingerprint);
         let releasable = requests.first_mut().map(|it| std::mem::take(&mut it.releasable));
         GroupInputs {
--- a/crates/holdpointd/src/ingress/batches/refusals.rs
+++ b/crates/holdpointd/src/ingress/batches/refusals.rs
@@ -6,10 +6,10 @@
 use crate::{
     events::{self, Event, emit},
     ingress::{
-        attempts::NONE_LEFT_RETURN_MS,
+        attempts::NONE_LEFT_RETRY_MS,
         backoff,
-        confinement::{RETURN_MS, log_refused},
-        piece_ask::PieceAsk,
+        confinement::{RETRY_AFTER_MS, log_refused},
+        piece_ask::ItemRequest,
         shared::IngressShared,
     },
 };
@@ -25,7 +25,7 @@
     queue: &ServiceQueue,
     service: &str,
     now: Millis,
-    requests: &[PieceAsk],
+    requests: &[ItemRequest],
 ) -> Result<Within, NoResult> {
     let Some(first) = requests.first() else { return Ok(None) };
     let refuse = |event: Event, return_ms: Millis, reason: &str| {
@@ -35,24 +35,24 @@
         Err(NoResult::Overload(return_ms))
     };
     if queue.is_evacuated {
-        return refuse(events::PIECES_EVACUATED, EVACUATED_RETRY_MS, "");
+        return refuse(events::ITEMS_EVACUATED, EVACUATED_RETRY_MS, "");
     }
     if queue.all_draining {
-        return refuse(events::PIECES_LEFT, NONE_LEFT_RETURN_MS, "");
+        return refuse(events::ITEMS_DRAINING, NONE_LEFT_RETRY_MS, "");
     }
     if let Some(ms) = queue.batcher.backoff_ms(now) {
         let limit_ms = if first.is_refusable { first.due_in_ms } else { first.deadline_in_ms };
-        let call_ms = queue.batcher.sizes().stated_ms(1) as i64;
+        let call_ms = queue.batcher.sizes().nominal_ms(1) as i64;
         if limit_ms < ms as i64 + call_ms {
             let reason = format!(" backoff_ms={ms}");
-            return refuse(events::PIECES_BACK_OFF, backoff::return_ms(ms), &reason);
+            return refuse(events::ITEMS_IN_BACKOFF, backoff::retry_after_ms(ms), &reason);
         }
     }
     let within = first.confinement.bounds(&shared.topology);
-    match within.as_ref().filter(|it| !queue.batcher.can_make(Some(it))) {
+    match within.as_ref().filter(|it| !queue.batcher.can_process(Some(it))) {
         Some(it) => {
             log_refused(shared, &first.work.request, service, it);
-            Err(NoResult::Overload(RETURN_MS))
+            Err(NoResult::Overload(RETRY_AFTER_MS))
         }
         None => Ok(within),
     }
--- a/crates/holdpointd/src/ingress/batches/targets.rs
+++ b/crates/holdpointd/src/ingress/batches/targets.rs
@@ -16,8 +16,8 @@
 
 impl KnownTarget {
     pub(super) fn new(target: &TargetInstance, is_evacuated: bool, is_far: bool) -> KnownTarget {
-        let is_suspended = is_evacuated && !target.is_leaving;
-        let is_closed = target.is_leaving || is_suspended || is_far;
+        let is_suspended = is_evacuated && !target.is_draining;
+        let is_closed = target.is_draining || is_suspended || is_far;
         KnownTarget { domain: target.domain.clone(), is_closed, is_suspended }
     }
 }
--- a/crates/holdpointd/src/ingress/changes.rs
+++ b/crates/holdpointd/src/ingress/changes.rs
@@ -33,7 +33,7 @@
     ) {
         let id = entry.id.clone();
         let change = directory.put(now, entry);
-        self.note(id, change, sign);
+        self.record(id, change, sign);
     }
 
     /// Removes a target instance from the directory and records the change.
@@ -44,13 +44,13 @@
         id: TargetId,
         sign: &'static str,
     ) {
-        directory.note_gone(now, &id);
+        directory.add_tombstone(now, &id);
         let change = directory.remove(&id);
-        self.note(id, change, sign);
+        self.record(id, change, sign);
     }
 
     /// Records a change that the directory has made.
-    pub(crate) fn note(&mut self, id: TargetId, change: Change, sign: &'static str) {
+    pub(crate) fn record(&mut self, id: TargetId, change: Change, sign: &'static str) {
         if change != Change::Nothing {
             self.changes.push((id, change, sign));
         }
@@ -83,7 +83,7 @@
             for (id, change, sign) in &self.changes {
                 let service = directory.get(id).map_or("", |it| it.service.as_str());
                 let event = match change {
-                    Change::Leaving => events::TARGET_LEAVING,
+                    Change::Leaving => events::TARGET_DRAINING,
                     _ => events::TARGET_CHANGED,
                 };
                 let detail = format!("target={id} service={service} change={change:?} sign={sign}");
@@ -116,7 +116,7 @@
 
 impl PeerChanges {
     /// Records a change; `address` is `None` if the peer is gone.
-    pub(crate) fn note(&mut self, name: &str, address: Option<String>) {
+    pub(crate) fn record(&mut self, name: &str, address: Option<String>) {
         self.changes.push((name.to_owned(), address));
     }
 
--- a/crates/holdpointd/src/ingress/confinement.rs
+++ b/crates/holdpointd/src/ingress/confinement.rs
@@ -21,7 +21,7 @@
 
 /// Retry-After of a request whose regions have no target for it, in milliseconds. The time until one joins
 /// is not known.
-pub(crate) const RETURN_MS: Millis = 1000;
+pub(crate) const RETRY_AFTER_MS: Millis = 1000;
 /// Most names of unknown regions, and of failure domains without a region, that a process logs.
 const MAX_LOGGED_NAMES: usize = 64;
 
@@ -42,7 +42,7 @@
 
 impl Confinements {
     /// Handles a change of the configuration: logs unknown names, and makes requests check their bounds.
-    pub(crate) fn configured(
+    pub(crate) fn configuration_changed(
         &self,
         shared: &IngressShared,
         before: &Configuration,
@@ -54,12 +54,12 @@
         for it in now.confinements() {
             it.unknown(&shared.topology).for_each(|it| self.log_unknown(shared, "region", it));
         }
-        shared.targets().iter().for_each(|it| self.check(shared, &it.domain));
+        shared.targets().iter().for_each(|it| self.check_domain(shared, &it.domain));
         self.changed.send_replace(());
     }
 
     /// Logs a target's failure domain that is in no region, if the configuration confines any requests.
-    pub(crate) fn check(&self, shared: &IngressShared, domain: &str) {
+    pub(crate) fn check_domain(&self, shared: &IngressShared, domain: &str) {
         let is_known = shared.topology.region_of(domain).is_some_and(|it| !it.is_empty());
         if !is_known && !shared.configuration().confinements().is_empty() {
             self.log_unknown(shared, "domain", domain);
@@ -143,7 +143,7 @@
     }
 
     /// Waits until the request's bounds differ from `from`.
-    pub(crate) async fn bounds_change(&self, from: &Within) {
+    pub(crate) async fn wait_bounds_change(&self, from: &Within) {
         let mut changed = self.shared.confinements.changed.subscribe();
         // The sender lives as long as the instance.
         while self.within() == *from && changed.changed().await.is_ok() {}
@@ -152,13 +152,13 @@
     /// Refuses the request if its regions have no target for it or for one of its stages.
     pub(crate) fn refuse_confined(&self) -> Option<Answer> {
         let within = self.within()?;
-        let graph = StageGraph::new(&self.route.stages, &self.head.pieces);
+        let graph = StageGraph::new(&self.route.stages, &self.head.item_counts);
         let steps = self.route.stages.iter().enumerate();
-        let staged = steps.filter(|it| graph.pieces(it.0) != 0).map(|it| &it.1.service);
+        let staged = steps.filter(|it| graph.items(it.0) != 0).map(|it| &it.1.service);
         let mut services = once(&self.service).chain(staged);
         let unserved = services.find(|it| !self.shared.can_serve(it, &within))?;
         log_refused(&self.shared, &self.request.id, unserved, &within);
-        Some(self.give_up("confined", Duration::from_millis(RETURN_MS)))
+        Some(self.final_answer("confined", Duration::from_millis(RETRY_AFTER_MS)))
     }
 }
 
@@ -166,7 +166,7 @@
     /// Whether a service has a target within the bounds that may get new work.
     fn can_serve(&self, service: &str, within: &Bounds) -> bool {
         let targets = self.targets();
-        let mut usable = targets.iter().filter(|it| it.service == service && !it.is_leaving);
+        let mut usable = targets.iter().filter(|it| it.service == service && !it.is_draining);
         usable.any(|it| within.allows(&it.domain) && !self.domains.is_evacuated(&it.domain))
     }
 }
@@ -174,7 +174,7 @@
 /// Logs that a request is refused since its regions have no target of a service.
 pub(crate) fn log_refused(shared: &IngressShared, request: &str, service: &str, within: &Bounds) {
     let detail = format!(
-        "id={request} service={service} regions={} return_ms={RETURN_MS}",
+        "id={request} service={service} regions={} return_ms={RETRY_AFTER_MS}",
         within.regions()
     );
     emit(events::CONFINED, &shared.settings.instance, &detail);
--- a/crates/holdpointd/src/ingress/confirm.rs
+++ b/crates/holdpointd/src/ingress/confirm.rs
@@ -39,7 +39,7 @@
 
 impl Confirmation {
     /// Records that the active configuration was the newest one at `at`, in milliseconds of the clock.
-    pub(crate) fn note(&self, at: Millis) {
+    pub(crate) fn record(&self, at: Millis) {
         self.confirmed_at.fetch_max(at, Ordering::AcqRel);
     }
 
@@ -73,7 +73,7 @@
 async fn query(shared: &Arc<IngressShared>) {
     let started_at = shared.clock.now();
     if follow::confirm_configuration(shared).await {
-        shared.confirmation.note(started_at);
+        shared.confirmation.record(started_at);
         return;
     }
     watch::read_configuration(shared).await;
--- a/crates/holdpointd/src/ingress/connections.rs
+++ b/crates/holdpointd/src/ingress/connections.rs
@@ -113,7 +113,7 @@
     /// Applies a configuration: the idle connections of a service's targets are divided among the instances.
     pub(crate) fn configure(&self, configuration: &Configuration, instances: usize) {
         let services = configuration.services.values();
-        let max_idle = services.map(|it| (it.name.clone(), it.at_rest(instances)));
+        let max_idle = services.map(|it| (it.name.clone(), it.idle_connections(instances)));
         *self.max_idle.lock() = max_idle.collect();
     }
 
@@ -208,7 +208,7 @@
 /// Connects to an address; a task of its own drives the connection.
 pub(crate) async fn connect(address: &str) -> io::Result<(SendRequest<Full<Bytes>>, AbortHandle)> {
     let stream = TcpStream::connect(address).await?;
-    guard(&stream)?;
+    set_socket_options(&stream)?;
     let making =
         http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(TokioIo::new(stream));
     let (sender, connection) = making.await.map_err(io::Error::other)?;
@@ -217,7 +217,7 @@
 }
 
 /// Sets the socket options for low latency and for the detection of dead links.
-pub(crate) fn guard(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/holdpointd/src/ingress/context.rs
+++ b/crates/holdpointd/src/ingress/context.rs
@@ -11,13 +11,13 @@
     time::Duration,
 };
 
-use holdpoint_adapter::headers::{Added, CallerHead};
+use holdpoint_adapter::headers::{CallerHead, SystemHeaders};
 use holdpoint_core::{
     cold::Share,
     directory::TargetInstance,
     experiments::ChosenArm,
     ids::{Millis, Name},
-    ingress::{IngressRoute, Repeat, Shape, Version},
+    ingress::{IngressRoute, Repeat, ResponseKind, Version},
     ledger::Ledger,
     quarantine::Fingerprint,
     route::Call,
@@ -35,12 +35,12 @@
         limits,
         pools::Pool,
         regions,
-        send::{CallerRequest, left},
+        send::{CallerRequest, time_until},
         shared::IngressShared,
-        unread::NotPassed,
+        unread::DeliveryError,
     },
     metrics::label,
-    shared::Working,
+    shared::InFlightGuard,
 };
 
 /// Fixed part of a generation's work before its first token, in equivalent prompt tokens.
@@ -65,7 +65,7 @@
     pub(crate) version: Version,
     pub(crate) arrived: Instant,
     /// Estimated time between the caller's first attempt and this request.
-    pub(crate) asked_before: Duration,
+    pub(crate) retry_elapsed: Duration,
     /// Deadline for the final answer.
     pub(crate) deadline: Instant,
     pub(crate) ledger: Ledger,
@@ -77,7 +77,7 @@
     /// Arm of the route's trial that the request is assigned to, if there is a trial.
     pub(crate) arm: Option<ChosenArm>,
     end: Mutex<EndRecord>,
-    _in_flight: Working,
+    _in_flight: InFlightGuard,
 }
 
 /// Data of the event that is logged at the end of a request.
@@ -104,19 +104,19 @@
     pub(crate) bounds: RequestBounds,
     pub(crate) version: Version,
     pub(crate) arrived: Instant,
-    pub(crate) working: Working,
+    pub(crate) working: InFlightGuard,
 }
 
 impl Context {
     /// Creates the context of a request that was read and matched to a route.
     pub(crate) fn new(shared: Arc<IngressShared>, parts: ContextParts) -> Context {
-        let limit = parts.route.time_limit(parts.head.patience);
+        let limit = parts.route.time_limit(parts.head.timeout);
         let asked_before = asked_before(&shared, &parts);
         let pool = shared.pools.of(shared.clock.now(), &parts.service);
         pool.request(shared.clock.now(), &shared.pools.terms());
         let home_region =
-            regions::home(&shared, &parts.route, &parts.service, parts.bounds.at_arrival());
-        let arm = shared.experiments.now().arm_for(&parts.route.name, &parts.request.id);
+            regions::home_region(&shared, &parts.route, &parts.service, parts.bounds.at_arrival());
+        let arm = shared.experiments.active().arm_for(&parts.route.name, &parts.request.id);
         Context {
             shared,
             request: parts.request,
@@ -131,7 +131,7 @@
             bounds: parts.bounds,
             version: parts.version,
             arrived: parts.arrived,
-            asked_before,
+            retry_elapsed: asked_before,
             deadline: parts.arrived + limit,
             ledger: Ledger::new(),
             fingerprint: OnceLock::new(),
@@ -145,7 +145,7 @@
 
     /// Time left until the final answer is due.
     pub(crate) fn left(&self) -> Duration {
-        left(self.deadline)
+        time_until(self.deadline)
     }
 
     /// Waits until the final answer is due.
@@ -155,10 +155,10 @@
 
     /// Time left until the answer must begin: callers abandon a stream that stays silent for too long, before
     /// its deadline.
-    pub(crate) fn left_to_begin(&self) -> Duration {
-        match self.route.shape {
-            Shape::Events { silence_ms, .. } if !self.has_answered() => {
-                self.left().min(left(self.arrived + Duration::from_millis(silence_ms)))
+    pub(crate) fn time_to_begin(&self) -> Duration {
+        match self.route.response {
+            ResponseKind::Events { silence_ms, .. } if !self.has_answered() => {
+                self.left().min(time_until(self.arrived + Duration::from_millis(silence_ms)))
             }
             _ => self.left(),
         }
@@ -170,12 +170,12 @@
 
     /// Time within which an answer has its full value.
     pub(crate) fn target_time(&self) -> Duration {
-        Duration::from_millis(self.route.target_ms)
+        Duration::from_millis(self.route.objective_ms)
     }
 
     /// Time left of the target time, counted from the caller's first attempt.
-    pub(crate) fn left_of_target(&self) -> Duration {
-        self.target_time().saturating_sub(self.arrived.elapsed() + self.asked_before)
+    pub(crate) fn target_time_left(&self) -> Duration {
+        self.target_time().saturating_sub(self.arrived.elapsed() + self.retry_elapsed)
     }
 
     /// Whether the request may run again.
@@ -197,12 +197,12 @@
     }
 
     /// Records that stage results were produced for the request.
-    pub(crate) fn begin_stages(&self) {
+    pub(crate) fn record_stage_results(&self) {
         self.has_begun.store(true, Ordering::Release);
     }
 
     /// Whether work was done for the request, which a refusal would discard.
-    pub(crate) fn has_begun(&self) -> bool {
+    pub(crate) fn has_work_done(&self) -> bool {
         self.has_begun.load(Ordering::Acquire) || self.was_sent()
     }
 
@@ -219,7 +219,7 @@
     /// Routing policy of the request's trial arm; `None` for the built-in policy.
     pub(crate) fn policy(&self) -> Option<Arc<Policy>> {
         let arm = self.arm.as_ref()?;
-        self.shared.experiments.now().policy(&arm.policy)
+        self.shared.experiments.active().policy(&arm.policy)
     }
 
     /// Which idle connections may carry the request.
@@ -233,11 +233,11 @@
         target: &'a TargetInstance,
         last_event: Option<&'a str>,
         inputs: &'a [String],
-    ) -> Added<'a> {
-        let is_generation = matches!(self.route.shape, Shape::Events { .. });
-        Added {
+    ) -> SystemHeaders<'a> {
+        let is_generation = matches!(self.route.response, ResponseKind::Events { .. });
+        SystemHeaders {
             target: &target.id,
-            left: self.left(),
+            time_left: self.left(),
             organisation: self.organisation.as_deref(),
             last_event,
             inputs,
@@ -292,7 +292,7 @@
         if within == *self.bounds.at_arrival() {
             return Cow::Borrowed(self.spilled_to.get().unwrap_or(&self.home_region));
         }
-        Cow::Owned(regions::home(&self.shared, &self.route, &self.service, &within))
+        Cow::Owned(regions::home_region(&self.shared, &self.route, &self.service, &within))
     }
 
     /// Whether this instance places the service's prompts for all instances.
@@ -304,19 +304,19 @@
 
     /// Whether a wait of this many milliseconds ends within the target time and the deadline.
     pub(crate) fn may_wait_for(&self, ms: Millis) -> bool {
-        let waited = self.arrived.elapsed() + self.asked_before + Duration::from_millis(ms);
+        let waited = self.arrived.elapsed() + self.retry_elapsed + Duration::from_millis(ms);
         waited < self.target_time() && waited < self.left()
     }
 
     /// Longest wait for a target with free capacity, in milliseconds. A request that work was done for may wait
     /// beyond its target time, since a refusal would discard that work.
     pub(crate) fn longest_wait_ms(&self) -> Millis {
-        let left = if self.has_begun() { self.left() } else { self.left_of_target() };
-        left.min(self.left()).min(limits::LONGEST_WAIT).as_millis() as Millis
+        let left = if self.has_work_done() { self.left() } else { self.target_time_left() };
+        left.min(self.left()).min(limits::MAX_PERMIT_WAIT).as_millis() as Millis
     }
 
     /// Records the time that the stages took.
-    pub(crate) fn note_stages(&self, begun: Instant) {
+    pub(crate) fn record_stages(&self, begun: Instant) {
         self.end.lock().stages_ms = begun.elapsed().as_millis() as u64;
     }
 
@@ -332,16 +332,21 @@
 
     /// Percentile of the route's time from send to first event, in milliseconds; `None` with too few samples.
     pub(crate) fn first_event_ms(&self, percent: u32) -> Option<Millis> {
-        let times = self.shared.first_times.of(&self.route.name, Default::default);
+        let times = self.shared.first_times.get_or_create(&self.route.name, Default::default);
         times.lock().quantile(f64::from(percent) / 100.0)
     }
 
     /// Records the time from a send to the first event.
     pub(crate) fn record_first_event(&self, ms: Millis) {
         if let Some(predicted) = self.first_event_ms(50) {
-            self.shared.metrics.predicted("first event", "any", predicted as f64, ms as f64);
+            self.shared.metrics.record_prediction(
+                "first event",
+                "any",
+                predicted as f64,
+                ms as f64,
+            );
         }
-        let times = self.shared.first_times.of(&self.route.name, Default::default);
+        let times = self.shared.first_times.get_or_create(&self.route.name, Default::default);
         times.lock().record(self.shared.clock.now(), ms);
     }
 
@@ -360,8 +365,8 @@
 
     /// The system's own final answer: a refusal if nothing has run, otherwise a failure. Retry-After of a
     /// quarantined request is the rest of its quarantine.
-    pub(crate) fn give_up(&self, cause: &'static str, retry_after: Duration) -> Answer {
-        let retry_after = self.held_for().unwrap_or(retry_after);
+    pub(crate) fn final_answer(&self, cause: &'static str, retry_after: Duration) -> Answer {
+        let retry_after = self.quarantine_left().unwrap_or(retry_after);
         let id = Some(self.request.id.as_str());
         let answer = match self.ledger.close() {
             Ok(proof) => refusal(proof, id, retry_after),
@@ -376,7 +381,7 @@
     /// milliseconds spent in its stages and at its target.
     fn count_for_arm(&self, arm: &ChosenArm, end: &EndRecord, ms: u64) {
         let first = if end.first_ms == 0 { ms } else { end.first_ms };
-        let attained = end.cause == "answered" && first <= self.route.target_ms;
+        let attained = end.cause == "answered" && first <= self.route.objective_ms;
         let of_arm = || {
             let name = |name, value: &str| label(name, value.to_owned());
             vec![name("trial", &arm.trial), name("arm", &arm.arm)]
@@ -392,17 +397,19 @@
     }
 
     /// Returns the logged cause of an answer whose delivery stopped, and logs it if the caller did not read.
-    pub(crate) fn record_undelivered(&self, why: NotPassed) -> &'static str {
-        let NotPassed::Unread { kept, is_full } = why else { return "caller-gone" };
+    pub(crate) fn record_undelivered(&self, why: DeliveryError) -> &'static str {
+        let DeliveryError::ReadTimeout { buffered: kept, is_full } = why else {
+            return "caller-gone";
+        };
         let detail = format!(
             "id={} route={} kept={kept} bound={} of_instance={}",
             self.request.id,
             self.route.name,
             if is_full { "instance" } else { "answer" },
-            self.shared.unread.kept()
+            self.shared.unread.buffered()
         );
-        emit(events::UNREAD, &self.shared.settings.instance, &detail);
-        self.shared.metrics.unread.add(1, &[label("route", self.route.name.as_str())]);
+        emit(events::ANSWER_UNREAD, &self.shared.settings.instance, &detail);
+        self.shared.metrics.unread_answers.add(1, &[label("route", self.route.name.as_str())]);
         "unread"
     }
 
@@ -423,11 +430,11 @@
 /// Estimates the time since the caller's first attempt, from which the target time counts. The deadline that
 /// a caller states for a retry is shorter by this time.
 fn asked_before(shared: &IngressShared, parts: &ContextParts) -> Duration {
-    let Some(patience) = parts.head.patience else { return Duration::ZERO };
-    let patiences = shared.patiences.of(&parts.route.name, Default::default);
+    let Some(patience) = parts.head.timeout else { return Duration::ZERO };
+    let patiences = shared.stated_timeouts.get_or_create(&parts.route.name, Default::default);
     let mut patiences = patiences.lock();
     let patience = patience.as_millis() as Millis;
-    let asked_before = patiences.asked_before(patience);
+    let asked_before = patiences.retry_elapsed(patience);
     patiences.record(shared.clock.now(), patience);
     Duration::from_millis(asked_before)
 }
@@ -450,8 +457,8 @@
             end.stages_ms,
             end.first_ms,
             end.longest_gap_ms,
-            self.route.target_ms,
-            self.asked_before.as_millis(),
+            self.route.objective_ms,
+            self.retry_elapsed.as_millis(),
         );
         emit(events::REQUEST_ENDED, &self.shared.settings.instance, &detail);
         if let Some(it) = &self.arm {
--- a/crates/holdpointd/src/ingress/declared.rs
+++ b/crates/holdpointd/src/ingress/declared.rs
@@ -10,14 +10,14 @@
 
 /// The active resources, and the bytes that they were parsed from.
 #[derive(Default)]
-pub(crate) struct Declared {
+pub(crate) struct ActiveResources {
     bytes: Mutex<BTreeMap<String, Bytes>>,
     active: ArcSwap<Experiments>,
 }
 
-impl Declared {
+impl ActiveResources {
     /// The active resources.
-    pub(crate) fn now(&self) -> Arc<Experiments> {
+    pub(crate) fn active(&self) -> Arc<Experiments> {
         self.active.load_full()
     }
 
--- a/crates/holdpointd/src/ingress/departures.rs
+++ b/crates/holdpointd/src/ingress/departures.rs
@@ -36,7 +36,7 @@
 
 /// An incarnation of a target that is draining.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Departure {
+pub(crate) struct DrainNotice {
     /// Id of the target.
     pub(crate) target: TargetId,
     /// Start of the incarnation in milliseconds of Unix time, if the target reports it.
@@ -44,36 +44,36 @@
     pub(crate) born: Option<Millis>,
 }
 
-impl Departure {
-    pub(crate) fn of(target: &TargetInstance) -> Departure {
-        Departure { target: target.id.clone(), born: target.born }
+impl DrainNotice {
+    pub(crate) fn of(target: &TargetInstance) -> DrainNotice {
+        DrainNotice { target: target.id.clone(), born: target.born }
     }
 }
 
 /// Drain notices that this instance passes on to the readers of the store.
 #[derive(Debug, Default)]
-pub(crate) struct Departures {
+pub(crate) struct DrainNotices {
     known: Mutex<HashMap<TargetId, TrackedNotice>>,
     has_unsent: Notify,
 }
 
 #[derive(Debug)]
 struct TrackedNotice {
-    notice: Departure,
+    notice: DrainNotice,
     /// When its target was last listed, in milliseconds.
     listed_at: Millis,
     /// Peers, by name and incarnation, that have received the notice.
     receivers: Vec<(Name, String)>,
 }
 
-impl Departures {
-    fn note(&self, now: Millis, notice: Departure) {
+impl DrainNotices {
+    fn note(&self, now: Millis, notice: DrainNotice) {
         let tracked = TrackedNotice { notice, listed_at: now, receivers: Vec::new() };
         self.known.lock().insert(tracked.notice.target.clone(), tracked);
     }
 
     /// Known notices, as many as one message holds.
-    fn all(&self) -> Vec<Departure> {
+    fn all(&self) -> Vec<DrainNotice> {
         let known = self.known.lock();
         known.values().take(MAX_NOTICES).map(|it| it.notice.clone()).collect()
     }
@@ -90,24 +90,27 @@
 }
 
 /// Records that a target has reported in a response that it is draining.
-pub(crate) fn answered(shared: &IngressShared, target: &TargetInstance) {
-    if shared.target_leaves(&Departure::of(target), "answer") == Change::Leaving {
-        emit(events::LEAVING_NOTICE, &shared.settings.instance, &format!("target={}", target.id));
-        shared.departures.note(shared.clock.now(), Departure::of(target));
+pub(crate) fn record_drain_answer(shared: &IngressShared, target: &TargetInstance) {
+    if shared.mark_draining(&DrainNotice::of(target), "answer") == Change::Leaving {
+        emit(events::DRAIN_NOTICE, &shared.settings.instance, &format!("target={}", target.id));
+        shared.departures.note(shared.clock.now(), DrainNotice::of(target));
         shared.departures.has_unsent.notify_one();
     }
 }
 
 /// Applies notices from a peer, and returns those that this instance knows.
-pub(crate) fn exchange_notices(shared: &IngressShared, notices: Vec<Departure>) -> Vec<Departure> {
+pub(crate) fn exchange_notices(
+    shared: &IngressShared,
+    notices: Vec<DrainNotice>,
+) -> Vec<DrainNotice> {
     apply_notices(shared, notices);
     shared.departures.all()
 }
 
 /// Applies notices from a peer.
-pub(crate) fn apply_notices(shared: &IngressShared, notices: Vec<Departure>) {
+pub(crate) fn apply_notices(shared: &IngressShared, notices: Vec<DrainNotice>) {
     for it in notices.into_iter().take(MAX_NOTICES) {
-        let is_new = shared.target_leaves(&it, "peer-answer") == Change::Leaving;
+        let is_new = shared.mark_draining(&it, "peer-answer") == Change::Leaving;
         // Followers receive it like any other change. Other readers do not follow this instance, so a reader
         // keeps the notice to send it to them.
         if is_new && *shared.reading.borrow() {
@@ -120,9 +123,9 @@
 pub(crate) fn notices_for<'a>(
     shared: &IngressShared,
     makers: impl Iterator<Item = &'a str>,
-) -> Vec<Departure> {
-    let makers = makers.filter_map(|it| shared.target_at(it)).filter(|it| it.is_leaving);
-    let mut notices: Vec<Departure> = makers.map(|it| Departure::of(&it)).collect();
+) -> Vec<DrainNotice> {
+    let makers = makers.filter_map(|it| shared.target_at(it)).filter(|it| it.is_draining);
+    let mut notices: Vec<DrainNotice> = makers.map(|it| DrainNotice::of(&it)).collect();
     notices.dedup();
     notices
 }
@@ -158,7 +161,7 @@
     let peers =
         peers.filter(|it| readers.contains(&it.1.address) && DRAIN_PROTOCOL <= it.1.protocol);
     let send = |(name, peer): (Name, Peer)| async move {
-        let incarnation = (name, peer.life);
+        let incarnation = (name, peer.incarnation);
         let notices = unsent(shared, &incarnation);
         if notices.is_empty() && !is_forced {
             return;
@@ -179,7 +182,7 @@
 }
 
 /// Notices that an incarnation of a peer has not received.
-fn unsent(shared: &IngressShared, incarnation: &(Name, String)) -> Vec<Departure> {
+fn unsent(shared: &IngressShared, incarnation: &(Name, String)) -> Vec<DrainNotice> {
     let known = shared.departures.known.lock();
     let unsent = known.values().filter(|it| !it.receivers.contains(incarnation));
     unsent.take(MAX_NOTICES).map(|it| it.notice.clone()).collect()
--- a/crates/holdpointd/src/ingress/domains.rs
+++ b/crates/holdpointd/src/ingress/domains.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     events::{self, emit},
-    ingress::{batches::pump_all, shared::IngressShared},
+    ingress::{batches::start_all_calls, shared::IngressShared},
 };
 
 /// Least time for which targets of a restored domain are treated as cold. They may have become cold shortly
@@ -44,17 +44,17 @@
 
 /// Applies a state of the evacuations if it is newer. Targets of evacuated domains get no new work, and work
 /// that is queued for them is placed elsewhere at once.
-pub(crate) fn take_over(shared: &Arc<IngressShared>, newer: Evacuations, source: &str) {
+pub(crate) fn apply_update(shared: &Arc<IngressShared>, newer: Evacuations, source: &str) {
     let now = shared.clock.now();
     let Some(changes) = shared.domains.state.lock().advance(now, newer) else { return };
-    shared.has_news.send_replace(());
+    shared.updated.send_replace(());
     apply_changes(shared, &changes, source);
 }
 
 /// Restores the domains whose orders were missing from the store after a rollback and were not written again
 /// in time.
 pub(crate) fn settle(shared: &Arc<IngressShared>) {
-    let changes = shared.domains.state.lock().settle(shared.clock.now());
+    let changes = shared.domains.state.lock().restore_expired(shared.clock.now());
     apply_changes(shared, &changes, "settled");
 }
 
@@ -69,13 +69,13 @@
         }
     }
     shared.apply_directory();
-    pump_all(shared);
+    start_all_calls(shared);
 }
 
 fn log(shared: &IngressShared, change: &DomainChange, source: &str) {
     let DomainChange { domain, is_evacuated } = change;
     let targets = shared.targets();
-    let active = || targets.iter().filter(|it| !it.is_leaving);
+    let active = || targets.iter().filter(|it| !it.is_draining);
     let open = active().filter(|it| !shared.domains.is_evacuated(&it.domain)).count();
     let detail = format!(
         "domain={domain} evacuated={is_evacuated} horizon={} its_targets={} open_targets={open} \
@@ -93,7 +93,7 @@
 fn mark_cold(shared: &IngressShared, domain: &str) {
     let configuration = shared.configuration();
     let its: Vec<_> = shared.targets().into_iter().filter(|it| it.domain == domain).collect();
-    shared.hold_cold(its.iter().filter_map(|it| {
+    shared.assume_cold(its.iter().filter_map(|it| {
         let cold = configuration.services.get(&it.service)?.cold?;
         Some((it.id.as_str(), cold.start_ms.max(MIN_COLD_MS)))
     }));
