--- a/crates/holdpointd/src/ingress/follow.rs
+++ b/crates/holdpointd/src/ingress/follow.rs
@@ -16,8 +16,8 @@
     events::{self, emit},
     ingress::{
         domains,
-        intake::{Taken, take_configuration, take_in, unpacked},
-        news::{Content, Known, MAX_WAIT, Place, TargetList, Update},
+        intake::{UpdateOutcome, apply_configuration, apply_update, decode_or_log},
+        news::{Content, FollowPosition, FollowRequest, MAX_WAIT, TargetList, Update},
         peers::{Leaders, Sources},
         rollouts,
         shared::IngressShared,
@@ -61,29 +61,29 @@
 
 /// Decides whether this instance reads the store, and follows peers otherwise, until the task is dropped.
 pub(crate) async fn run(shared: Arc<IngressShared>) {
-    let mut position = Place::default();
+    let mut position = FollowPosition::default();
     // The readers are chosen among the known peers.
     let _ = shared.peers_known.subscribe().wait_for(|it| *it).await;
     // No update was received yet; the readers get time to read the store.
     let mut last_update = Instant::now() + START_GRACE;
     loop {
         let sources = shared.peers.sources();
-        let patience = sources.patience;
+        let patience = sources.read_delay;
         // An instance without peers would take itself for a reader. After a restart of all instances, many
         // would, and their reads would saturate the link to the store.
         let knows_peers = shared.peers.knows_leaders() || last_update < Instant::now();
         let is_reader = sources.is_reader && knows_peers;
         if is_reader && !*shared.is_store_silent.borrow() {
             set_reading(&shared, true, "reader");
-            if let Some(it) = sources.asked.first() {
-                shared.peers.watch(&shared, it).await;
+            if let Some(it) = sources.followed.first() {
+                shared.peers.connect(&shared, it).await;
             }
             sleep(REVIEW_INTERVAL).await;
             continue;
         }
         if *shared.reading.borrow() {
             // The position no longer describes the state here, which own reads have changed.
-            position = Place::default();
+            position = FollowPosition::default();
         }
         let is_updated = poll_peers(&shared, &mut position, sources).await;
         let cause = if is_updated { "told" } else { "nobody-has-read" };
@@ -123,13 +123,14 @@
 
 /// Learns the leaders from one seed; returns whether the seed knew them.
 async fn leaders_from(shared: &Arc<IngressShared>, seed: &str) -> bool {
-    let known = Known { wants_leaders: true, ..Known::configuration_only(shared, false) };
+    let known =
+        FollowRequest { wants_leaders: true, ..FollowRequest::configuration_only(shared, false) };
     let Ok(update) = shared.peers.follow(shared, seed, known, SNAPSHOT_TIMEOUT).await else {
         return false;
     };
-    let leaders: Option<Leaders> = update.leaders.and_then(|it| unpacked(shared, &it));
+    let leaders: Option<Leaders> = update.leaders.and_then(|it| decode_or_log(shared, &it));
     let Some(Leaders { members, sizes }) = leaders else { return false };
-    shared.peers.tell_sizes(sizes);
+    shared.peers.set_reported_sizes(sizes);
     shared.set_peers(members.into_iter().map(|(name, it)| (name, Some(it))).collect(), false);
     true
 }
@@ -161,59 +162,63 @@
 /// Whether the store is in another region. Without regions, a long round trip is a sign of a busy machine, not
 /// of distance.
 fn is_far_from_store(shared: &IngressShared) -> bool {
-    shared.topology.is_split() && shared.peers.store_ms().is_some_and(|it| FAR_STORE_MS < it)
+    shared.topology.has_regions() && shared.peers.store_ms().is_some_and(|it| FAR_STORE_MS < it)
 }
 
 /// Learns the peers from one seed, which knows them once it has read them or received them.
 async fn learn_peers_from(shared: &Arc<IngressShared>, seed: &str) -> bool {
-    let known = Known {
-        position: Some(Place::default().with_targets(shared, seed)),
+    let known = FollowRequest {
+        position: Some(FollowPosition::default().with_targets(shared, seed)),
         peers_digest: Some(shared.instances_digest()),
-        ..Known::configuration_only(shared, false)
+        ..FollowRequest::configuration_only(shared, false)
     };
     let answer = shared.peers.follow(shared, seed, known, SNAPSHOT_TIMEOUT).await;
     let Ok(update) = answer else { return false };
-    take_in(shared, update);
-    shared.peers.were_read()
+    apply_update(shared, update);
+    shared.peers.is_complete()
 }
 
 /// Polls peers in turn, and applies their updates, until one has recently read the store; returns whether one
 /// has.
 async fn poll_peers(
     shared: &Arc<IngressShared>,
-    position: &mut Place,
-    Sources { asked, is_relay, .. }: Sources,
+    position: &mut FollowPosition,
+    Sources { followed: asked, is_relay, .. }: Sources,
 ) -> bool {
     let wait = if is_relay { RELAY_WAIT } else { MAX_WAIT };
     for address in peers_to_ask(shared, asked) {
-        let known = Known {
+        let known = FollowRequest {
             version: shared.configuration().version.max(position.version),
             wait_ms: wait.as_millis() as Millis,
             position: Some(position.with_targets(shared, &address)),
             wants_large: is_far_from_store(shared),
             orders: Some(shared.domains.position().offset),
-            era: shared.domains.position().era,
+            epoch: shared.domains.position().epoch,
             rollouts: Some(shared.rollouts.position().offset),
             peers_digest: Some(shared.instances_digest()),
             is_relay,
             wants_leaders: false,
         };
-        let limit =
-            if *position == Place::default() { SNAPSHOT_TIMEOUT } else { wait + RESPONSE_TIMEOUT };
+        let limit = if *position == FollowPosition::default() {
+            SNAPSHOT_TIMEOUT
+        } else {
+            wait + RESPONSE_TIMEOUT
+        };
         let answer = shared.peers.follow(shared, &address, known, limit).await;
         let Ok(update) = answer else { continue };
         let Update { incarnation, revision, version, .. } = update;
-        let taken = take_in(shared, update);
+        let taken = apply_update(shared, update);
         if shared.configuration().version < version {
-            tokio::spawn(catch_up(shared.clone(), address));
+            tokio::spawn(fetch_configuration(shared.clone(), address));
         }
         match taken {
-            Taken::Fresh => {
-                *position = Place { incarnation, revision, version, ..Place::default() };
+            UpdateOutcome::Fresh => {
+                *position =
+                    FollowPosition { incarnation, revision, version, ..FollowPosition::default() };
                 return true;
             }
-            Taken::Stale => (),
-            Taken::Unreadable => *position = Place::default(),
+            UpdateOutcome::Stale => (),
+            UpdateOutcome::Unreadable => *position = FollowPosition::default(),
         }
     }
     false
@@ -225,7 +230,7 @@
     mut preferred: Vec<String>,
 ) -> impl Iterator<Item = String> {
     if preferred.len() < MAX_ASKED_PEERS {
-        for address in shared.peers.to_ask(&shared.topology) {
+        for address in shared.peers.addresses(&shared.topology) {
             if !preferred.contains(&address) {
                 preferred.push(address);
             }
@@ -238,7 +243,7 @@
 ///
 /// An instance that was cut off from the store cannot tell this itself; a peer that has read the store without
 /// a failure can. Without it, targets would get requests for [`watch::LAPSE_GRACE_MS`] after they have left.
-pub(crate) async fn settle_lapses(shared: Arc<IngressShared>) {
+pub(crate) async fn resolve_lapses(shared: Arc<IngressShared>) {
     loop {
         shared.lapses_found.notified().await;
         while !shared.lapses().0.is_empty() {
@@ -254,10 +259,10 @@
     let Sources { readers, .. } = shared.peers.sources();
     let (lapsed, span_ms) = shared.lapses();
     for address in peers_to_ask(shared, readers) {
-        let known = Known {
-            position: Some(Place::default()),
+        let known = FollowRequest {
+            position: Some(FollowPosition::default()),
             peers_digest: Some(shared.instances_digest()),
-            ..Known::configuration_only(shared, false)
+            ..FollowRequest::configuration_only(shared, false)
         };
         let Ok(update) = shared.peers.follow(shared, &address, known, RESPONSE_TIMEOUT).await
         else {
@@ -268,7 +273,7 @@
         }
         let list = match update.content {
             Some(Content::All { targets: Some(it), .. }) => serde_json::from_slice(&it).ok(),
-            Some(Content::Packed { targets: Some(it), .. }) => unpacked(shared, &it),
+            Some(Content::Packed { targets: Some(it), .. }) => decode_or_log(shared, &it),
             _ => continue,
         };
         let Some(list): Option<TargetList> = list else { continue };
@@ -283,7 +288,10 @@
 
 /// Fetches a newer configuration that a peer has: a small one from the peer, a large one from the store, or
 /// from the peer if the store does not answer. Does nothing while another call is in progress.
-pub(crate) fn catch_up(shared: Arc<IngressShared>, address: String) -> BoxFuture<'static, ()> {
+pub(crate) fn fetch_configuration(
+    shared: Arc<IngressShared>,
+    address: String,
+) -> BoxFuture<'static, ()> {
     Box::pin(async move {
         let Ok(_one) = shared.catching_up.try_lock() else { return };
         let wants_large = is_far_from_store(&shared);
@@ -301,15 +309,15 @@
 /// Asks peers for a newer configuration and applies it; returns whether a peer that has recently read the store
 /// confirmed that the configuration here is now the newest.
 pub(crate) async fn confirm_configuration(shared: &Arc<IngressShared>) -> bool {
-    let Sources { asked, .. } = shared.peers.sources();
+    let Sources { followed: asked, .. } = shared.peers.sources();
     for address in asked.into_iter().take(MAX_ASKED_PEERS - 1) {
-        let known = Known::configuration_only(shared, is_far_from_store(shared));
+        let known = FollowRequest::configuration_only(shared, is_far_from_store(shared));
         let Ok(update) = shared.peers.follow(shared, &address, known, RESPONSE_TIMEOUT).await
         else {
             continue;
         };
         let (is_fresh, version) = (update.age_ms.is_some(), update.version);
-        take_configuration(shared, &update);
+        apply_configuration(shared, &update);
         if is_fresh && version <= shared.configuration().version {
             return true;
         }
@@ -324,15 +332,15 @@
     wants_large: bool,
     limit: Duration,
 ) -> Version {
-    let known = Known::configuration_only(shared, wants_large);
+    let known = FollowRequest::configuration_only(shared, wants_large);
     let Ok(update) = shared.peers.follow(shared, address, known, limit).await else { return 0 };
     if let Some(it) = update.rollouts.clone() {
-        rollouts::take_over(shared, it.taken(shared.clock.now()), "peer");
+        rollouts::merge_orders(shared, it.into_orders(shared.clock.now()), "peer");
     }
     if let Some(it) = update.evacuations.clone() {
-        domains::take_over(shared, it, "peer");
+        domains::apply_update(shared, it, "peer");
     }
-    take_configuration(shared, &update);
+    apply_configuration(shared, &update);
     update.version
 }
 
@@ -341,6 +349,6 @@
         shared.reading.send_if_modified(|it| std::mem::replace(it, is_reading) != is_reading);
     if changed {
         let detail = format!("reads={is_reading} cause={cause}");
-        emit(events::READING, &shared.settings.instance, &detail);
+        emit(events::READER_ROLE_CHANGED, &shared.settings.instance, &detail);
     }
 }
--- a/crates/holdpointd/src/ingress/front.rs
+++ b/crates/holdpointd/src/ingress/front.rs
@@ -13,11 +13,11 @@
 use crate::{
     ingress::{
         answer::{Answer, empty, text},
-        connections::guard,
+        connections::set_socket_options,
         request,
         shared::IngressShared,
     },
-    shared::raised,
+    shared::wait_until_set,
 };
 
 /// Smallest read buffer that the HTTP library accepts.
@@ -44,7 +44,7 @@
     });
     tokio::select! {
         () = accepting => (),
-        () = raised(&mut closing) => (),
+        () = wait_until_set(&mut closing) => (),
     }
 }
 
@@ -103,7 +103,7 @@
 where
     S: hyper::service::Service<Request<Incoming>, Response = Answer, Error = Infallible>,
 {
-    if guard(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     // On failure the system's default size applies.
@@ -120,7 +120,7 @@
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => return,
-        () = raised(&mut closing) => (),
+        () = wait_until_set(&mut closing) => (),
     }
     connection.as_mut().graceful_shutdown();
     // An error at shutdown needs no handling.
--- a/crates/holdpointd/src/ingress/gate.rs
+++ b/crates/holdpointd/src/ingress/gate.rs
@@ -10,7 +10,7 @@
     confinement::{Within, is_within},
     directory::TargetInstance,
     ids::Millis,
-    notice::{Backoff, Notice},
+    notice::{Backoff, TargetStatus},
     target_limits::NamedLimit,
 };
 use http::{Request, Response};
@@ -21,7 +21,7 @@
     events::{self, emit},
     ingress::{
         connections::Connection,
-        departures::{self, Departure},
+        departures::{self, DrainNotice},
         limits::Permit,
         shared::IngressShared,
     },
@@ -43,14 +43,14 @@
         within: &'a Within,
     },
     /// A call with work items of a stage.
-    Pieces,
+    Items,
     /// A call that releases stage results.
     Release,
 }
 
 /// Why nothing may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Barred {
+pub(crate) enum SendBlock {
     /// The target is draining or gone, or its failure domain or version gets no work.
     Closed,
     /// The target has named a rate limit since the permit was given.
@@ -59,13 +59,13 @@
     BackingOff,
 }
 
-impl Barred {
+impl SendBlock {
     /// Name in the log.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Barred::Closed => "closed",
-            Barred::Limited => "limited",
-            Barred::BackingOff => "backoff",
+            SendBlock::Closed => "closed",
+            SendBlock::Limited => "limited",
+            SendBlock::BackingOff => "backoff",
         }
     }
 }
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExchangeError {
     /// The gate refused the send.
-    Blocked(Barred),
+    Blocked(SendBlock),
     /// The connection was lost before the first byte was sent.
     NotSent,
     /// The connection broke off.
@@ -101,13 +101,13 @@
     let head = headers::read_target(response.status(), response.headers());
     if head.is_misdirected {
         // Another target has this address now, and its notices say nothing about the one that was meant.
-        shared.target_leaves(&Departure::of(target), "misdirected");
+        shared.mark_draining(&DrainNotice::of(target), "misdirected");
         return Ok((head, response));
     }
     if let Payload::Request { id, .. } = payload
         && head.request_id.as_deref() != Some(id)
     {
-        shared.metrics.crossed.add(1, &[]);
+        shared.metrics.wrong_attempts.add(1, &[]);
         return Err(ExchangeError::Crossed);
     }
     apply_notices(shared, target, &head.notice, payload, sent);
@@ -120,24 +120,24 @@
     target: &TargetInstance,
     permit: &Permit,
     payload: Payload<'_>,
-) -> Result<Clearance, Barred> {
+) -> Result<Clearance, SendBlock> {
     let is_open = match payload {
         Payload::Request { within, .. } => {
             let is_allowed = |it: TargetInstance| is_within(within.as_deref(), &it.domain);
             shared.open_target(&target.id).is_some_and(is_allowed)
         }
-        Payload::Pieces => shared.open_target(&target.id).is_some(),
+        Payload::Items => shared.open_target(&target.id).is_some(),
         // The results of a draining target need no release.
-        Payload::Release => shared.target(&target.id).is_some_and(|it| !it.is_leaving),
+        Payload::Release => shared.target(&target.id).is_some_and(|it| !it.is_draining),
     };
     if !is_open {
-        return Err(Barred::Closed);
+        return Err(SendBlock::Closed);
     }
     if !shared.limits.allows(permit, &target.id) {
-        return Err(Barred::Limited);
+        return Err(SendBlock::Limited);
     }
     if shared.backoff_ms(target) != 0 {
-        return Err(Barred::BackingOff);
+        return Err(SendBlock::BackingOff);
     }
     Ok(Clearance(()))
 }
@@ -146,12 +146,12 @@
 fn apply_notices(
     shared: &IngressShared,
     target: &TargetInstance,
-    notice: &Notice,
+    notice: &TargetStatus,
     payload: Payload<'_>,
     sent: Millis,
 ) {
     let instance = &shared.settings.instance;
-    if shared.is_of_former_life(target) {
+    if shared.is_of_former_incarnation(target) {
         return;
     }
     if notice.limit == NamedLimit::Invalid {
@@ -162,14 +162,14 @@
         let now = shared.clock.now();
         match payload {
             Payload::Request { .. } => {
-                shared.pools.of(now, &target.service).report(now, &target.id, load);
+                shared.pools.of(now, &target.service).record_load(now, &target.id, load);
             }
-            Payload::Pieces => shared.batches.report(now, target, load, 1),
-            Payload::Release => shared.batches.report(now, target, load, 0),
+            Payload::Items => shared.batches.record_load(now, target, load, 1),
+            Payload::Release => shared.batches.record_load(now, target, load, 0),
         }
     }
-    if notice.is_leaving {
-        departures::answered(shared, target);
+    if notice.is_draining {
+        departures::record_drain_answer(shared, target);
     }
     match &notice.backoff {
         Backoff::None => (),
@@ -185,7 +185,7 @@
             }
         }
         Backoff::Invalid(value) => {
-            if shared.backoffs.lock().note_invalid(&target.id) {
+            if shared.backoffs.lock().record_invalid(&target.id) {
                 let detail = format!("target={} value={value:?}", target.id);
                 emit(events::BAD_BACKOFF, instance, &detail);
             }
--- a/crates/holdpointd/src/ingress/held.rs
+++ b/crates/holdpointd/src/ingress/held.rs
@@ -13,7 +13,7 @@
 use crate::ingress::{context::Context, shared::IngressShared};
 
 /// Results stored for a request. Dropping them releases them.
-pub(crate) struct Held {
+pub(crate) struct StoredResults {
     shared: Arc<IngressShared>,
     /// Regions that the request was confined to when the results were last checked against them.
     within: Within,
@@ -21,14 +21,14 @@
     handles: HashMap<String, Name>,
 }
 
-impl Held {
+impl StoredResults {
     /// Creates an empty set for a request.
-    pub(crate) fn new(ctx: &Context) -> Held {
-        Held { shared: ctx.shared.clone(), within: ctx.within(), handles: HashMap::new() }
+    pub(crate) fn new(ctx: &Context) -> StoredResults {
+        StoredResults { shared: ctx.shared.clone(), within: ctx.within(), handles: HashMap::new() }
     }
 
     /// Adds results of a service.
-    pub(crate) fn keep(&mut self, service: &str, handles: &[String]) {
+    pub(crate) fn add(&mut self, service: &str, handles: &[String]) {
         self.handles.extend(handles.iter().map(|it| (it.clone(), service.to_owned())));
     }
 
@@ -39,7 +39,7 @@
             return Vec::new();
         }
         let is_outside = |it: &&String| {
-            let maker = wire::maker(it).and_then(|it| self.shared.target_at(it));
+            let maker = wire::producer(it).and_then(|it| self.shared.target_at(it));
             let domain = maker.map_or_else(String::new, |it| it.domain);
             !is_within(within.as_deref(), &domain)
         };
@@ -50,7 +50,7 @@
     }
 
     /// Removes results that were already released by the call that consumed them.
-    pub(crate) fn forget(&mut self, handles: &[String]) {
+    pub(crate) fn remove(&mut self, handles: &[String]) {
         handles.iter().for_each(|it| drop(self.handles.remove(it)));
     }
 
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for StoredResults {
     fn drop(&mut self) {
         for (handle, service) in self.handles.drain() {
             self.shared.releases.release(&service, handle);
@@ -78,19 +78,23 @@
 }
 
 /// Results of a request's last stages.
-pub(crate) struct Results {
+pub(crate) struct StageResults {
     /// Handles for the request's own service.
     pub(crate) inputs: Vec<String>,
     /// Their bytes by the failure domain that stores them.
     pub(crate) domain_bytes: Vec<(Name, u64)>,
     /// Releases them when dropped.
-    held: Held,
+    held: StoredResults,
 }
 
-impl Results {
+impl StageResults {
     /// Creates the results from their handles, their sizes by failure domain, and the set that stores them.
-    pub(crate) fn new(inputs: Vec<String>, domain_bytes: Vec<(Name, u64)>, held: Held) -> Results {
-        Results { inputs, domain_bytes, held }
+    pub(crate) fn new(
+        inputs: Vec<String>,
+        domain_bytes: Vec<(Name, u64)>,
+        held: StoredResults,
+    ) -> StageResults {
+        StageResults { inputs, domain_bytes, held }
     }
 
     /// Whether the request's bounds are those that the results were made under.
--- a/crates/holdpointd/src/ingress/intake.rs
+++ b/crates/holdpointd/src/ingress/intake.rs
@@ -6,15 +6,15 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use holdpoint_core::{era::Heard, ids::Name};
+use holdpoint_core::{era::EpochOrder, ids::Name};
 use serde::de::DeserializeOwned;
 
 use crate::{
     events::{self, emit},
     ingress::{
         domains,
-        news::{Content, News, TargetList, Update},
-        packed::{Unreadable, decompress, unpack},
+        news::{Content, StateChange, TargetList, Update},
+        packed::{UnpackError, decompress, unpack},
         peers::Peer,
         rollouts,
         shared::IngressShared,
@@ -23,7 +23,7 @@
 
 /// Outcome of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum UpdateOutcome {
     /// The sender has read the store recently, or follows an instance that has.
     Fresh,
     /// The sender's state is outdated.
@@ -33,34 +33,34 @@
 }
 
 /// Applies an update from another instance.
-pub(crate) fn take_in(shared: &Arc<IngressShared>, update: Update) -> Taken {
-    if shared.eras.hear(update.era) == Heard::Over {
+pub(crate) fn apply_update(shared: &Arc<IngressShared>, update: Update) -> UpdateOutcome {
+    if shared.epochs.observe(update.epoch) == EpochOrder::Older {
         // The update is of an epoch before the store's restoration; only its configuration is used.
-        take_configuration(shared, &update);
-        return Taken::Stale;
+        apply_configuration(shared, &update);
+        return UpdateOutcome::Stale;
     }
     // Applied before the lists that make an instance ready, so that one that starts sends no work to an
     // evacuated domain and respects running roll-outs.
     if let Some(it) = update.rollouts.clone() {
-        rollouts::take_over(shared, it.taken(shared.clock.now()), "peer");
+        rollouts::merge_orders(shared, it.into_orders(shared.clock.now()), "peer");
     }
     if let Some(it) = update.evacuations.clone() {
-        domains::take_over(shared, it, "peer");
+        domains::apply_update(shared, it, "peer");
     }
-    take_configuration(shared, &update);
+    apply_configuration(shared, &update);
     let is_fresh = update.age_ms.is_some();
     // A peer missing from the list has left only if the sender has read the store recently. A sender that has
     // just started may have read the targets but not yet the peers.
     let is_complete = is_fresh && update.knows_peers.unwrap_or(true);
     if update.knows_peers == Some(true) && matches!(update.content, Some(Content::Packed { .. })) {
-        shared.peers.note_read();
+        shared.peers.mark_complete();
     }
     match update.content {
         None => (),
         Some(Content::News(news)) => apply_changes(shared, news),
-        Some(Content::PackedNews(news)) => match unpacked(shared, &news) {
+        Some(Content::PackedNews(news)) => match decode_or_log(shared, &news) {
             Some(it) => apply_changes(shared, it),
-            None => return Taken::Unreadable,
+            None => return UpdateOutcome::Unreadable,
         },
         Some(Content::All { targets, peers, resources }) => {
             apply_resources(shared, resources, is_fresh);
@@ -71,12 +71,12 @@
         }
         Some(Content::Packed { targets, peers, resources }) => {
             apply_resources(shared, resources, is_fresh);
-            let peers: Option<Vec<(Name, Peer)>> = peers.and_then(|it| unpacked(shared, &it));
+            let peers: Option<Vec<(Name, Peer)>> = peers.and_then(|it| decode_or_log(shared, &it));
             if let Some(it) = peers {
                 let it = it.into_iter().map(|(name, peer)| (name, Some(peer)));
                 shared.set_peers(it.collect(), is_complete);
             }
-            if let Some(it) = targets.and_then(|it| unpacked(shared, &it)) {
+            if let Some(it) = targets.and_then(|it| decode_or_log(shared, &it)) {
                 apply_targets(shared, it, is_fresh);
             }
         }
@@ -84,20 +84,20 @@
     if let Some(it) = update.age_ms {
         shared.targets_were_read(it);
         if update.version <= shared.configuration().version {
-            shared.confirmation.note(shared.clock.now().saturating_sub(it));
+            shared.confirmation.record(shared.clock.now().saturating_sub(it));
         }
     }
-    if is_fresh { Taken::Fresh } else { Taken::Stale }
+    if is_fresh { UpdateOutcome::Fresh } else { UpdateOutcome::Stale }
 }
 
 /// Applies the configuration in an update, if there is one.
-pub(crate) fn take_configuration(shared: &IngressShared, update: &Update) {
+pub(crate) fn apply_configuration(shared: &IngressShared, update: &Update) {
     if let Some(it) = &update.configuration {
-        shared.offer_configuration(it, "peer");
+        shared.apply_configuration(it, "peer");
     }
     match update.packed_configuration.as_deref().map(decompress) {
         None => (),
-        Some(Ok(it)) => shared.offer_configuration(&it, "peer"),
+        Some(Ok(it)) => shared.apply_configuration(&it, "peer"),
         Some(Err(it)) => {
             emit(events::BAD_LIST, &shared.settings.instance, &format!("cause=\"{it}\""));
         }
@@ -105,23 +105,26 @@
 }
 
 /// Decodes a packed list; logs and skips one that cannot be decoded.
-pub(crate) fn unpacked<T: DeserializeOwned>(shared: &IngressShared, packed: &[u8]) -> Option<T> {
+pub(crate) fn decode_or_log<T: DeserializeOwned>(
+    shared: &IngressShared,
+    packed: &[u8],
+) -> Option<T> {
     let decoded = unpack(packed);
-    let log_error = |it: &Unreadable| {
+    let log_error = |it: &UnpackError| {
         let detail = format!("bytes={} cause=\"{it}\"", packed.len());
         emit(events::BAD_LIST, &shared.settings.instance, &detail);
     };
     decoded.inspect_err(log_error).ok()
 }
 
-fn apply_changes(shared: &IngressShared, news: Vec<News>) {
+fn apply_changes(shared: &IngressShared, news: Vec<StateChange>) {
     let (mut targets, mut peers) = (Vec::new(), Vec::new());
     for it in news {
         match it {
-            News::Target(it) => targets.push(Ok(it)),
-            News::TargetGone(it) => targets.push(Err(it)),
-            News::Peer(name, peer) => peers.push((name, peer)),
-            News::Resource(key, value) => shared.set_resource(&key, value),
+            StateChange::Target(it) => targets.push(Ok(it)),
+            StateChange::TargetGone(it) => targets.push(Err(it)),
+            StateChange::Peer(name, peer) => peers.push((name, peer)),
+            StateChange::Resource(key, value) => shared.set_resource(&key, value),
         }
     }
     shared.set_peers(peers, false);
@@ -156,7 +159,7 @@
         if !is_fresh && !directory.is_empty() {
             return;
         }
-        let unnamed = directory.unnamed(&listed).into_iter();
+        let unnamed = directory.missing_from(&listed).into_iter();
         for id in unnamed.filter(|it| !lapsed.contains(it)) {
             changes.remove(directory, now, id, "peer");
         }
--- a/crates/holdpointd/src/ingress/limits.rs
+++ b/crates/holdpointd/src/ingress/limits.rs
@@ -13,7 +13,7 @@
     ids::Millis,
     route::{Call, Choice, NoTarget},
     target_limits::{
-        Allowance, AnswerSpan, Change, Keeping, LimitNews, NamedLimit, Slot, TargetLimits,
+        Allowance, AnswerSpan, Change, LimitUpdate, NamedLimit, Ownership, Slot, TargetLimits,
     },
 };
 use holdpoint_schema::resources::Policy;
@@ -23,7 +23,7 @@
 use crate::{
     events::{self, emit},
     ingress::{
-        peer_service::{LIMITS, PromptAsk},
+        peer_service::{PromptRequest, RATE_LIMIT_PROTOCOL},
         peers::Owners,
         pools::Pool,
         shared::IngressShared,
@@ -32,14 +32,14 @@
 };
 
 use self::updates::Outbox;
-pub(crate) use self::updates::{run, take_news};
+pub(crate) use self::updates::{apply_updates, run};
 
 /// How long nothing is sent to a target if no owner of its rate limit answered.
 const OWNER_RETRY_MS: Millis = 250;
 /// Maximum number of targets for which one decision requests a permit.
 const MAX_PERMIT_REQUESTS: u32 = 4;
 /// Maximum time that a request waits for a permit.
-pub(crate) const LONGEST_WAIT: Duration = Duration::from_millis(400);
+pub(crate) const MAX_PERMIT_WAIT: Duration = Duration::from_millis(400);
 
 /// Permission to send one request to a target.
 #[derive(Debug)]
@@ -56,7 +56,8 @@
         /// The target.
         target: TargetId,
         /// Whether it was counted against the target's rate limit.
-        is_taken: bool,
+        #[serde(rename = "is_taken")]
+        is_counted: bool,
     },
     /// A target accepts the next request in this many milliseconds, and the request can wait until then.
     Wait(Millis),
@@ -102,14 +103,14 @@
     }
 
     /// Formats a target's limit for a log line; empty if it has none.
-    pub(crate) fn shown(&self, id: &str) -> String {
+    pub(crate) fn log_suffix(&self, id: &str) -> String {
         let per_s = self.known.lock().per_s(id);
         per_s.map_or(String::new(), |it| format!(" limit_per_s={it}"))
     }
 
     /// Whether this instance owns the state of any rate limit.
-    pub(crate) fn keeps_any(&self) -> bool {
-        self.known.lock().keeps_any()
+    pub(crate) fn owns_any(&self) -> bool {
+        self.known.lock().owns_any()
     }
 
     /// Whether a permit still allows a send. One issued before the target stated a limit does not.
@@ -145,24 +146,29 @@
         };
         let per_s = self.known.lock().per_s(id).map_or("none".to_owned(), |it| it.to_string());
         let detail = format!("target={id} per_s={per_s}{before} source={source}");
-        emit(events::LIMIT_NAMED, &shared.settings.instance, &detail);
+        emit(events::TARGET_LIMIT_CHANGED, &shared.settings.instance, &detail);
         shared.metrics.target_limits.add(1, &[label("change", name)]);
     }
 }
 
 /// Confidence that this instance is the only owner of its rate limits, from the number of possible owners that
 /// respond.
-fn ownership(shared: &IngressShared) -> Keeping {
+fn ownership(shared: &IngressShared) -> Ownership {
     let (reached, of) = shared.peers.owners_reached();
-    if reached == of { Keeping::Sure } else { Keeping::Unsure { reached, of } }
+    if reached == of { Ownership::Sole } else { Ownership::Contested { reached, of } }
 }
 
 /// The peer that owns the state of a target's rate limit; `None` if this instance does. Peers of earlier
 /// versions own none.
 fn owner_of(shared: &IngressShared, target: &TargetInstance) -> Option<String> {
     let region = shared.topology.region_of(&target.domain);
-    let region = region.filter(|it| shared.topology.is_split() && shared.peers.has_live_in(it));
-    shared.peers.owner_since(LIMITS, region.map_or(Owners::Any, Owners::Of), &target.service)
+    let region =
+        region.filter(|it| shared.topology.has_regions() && shared.peers.has_responsive_in(it));
+    shared.peers.owner_with_protocol(
+        RATE_LIMIT_PROTOCOL,
+        region.map_or(Owners::Any, Owners::Region),
+        &target.service,
+    )
 }
 
 /// Requests a permit for a target, from the owner of its rate limit.
@@ -170,13 +176,13 @@
 /// # Errors
 ///
 /// The milliseconds after which the target accepts another request.
-pub(crate) async fn ask(
+pub(crate) async fn acquire(
     shared: &Arc<IngressShared>,
     target: &TargetInstance,
 ) -> Result<Permit, Millis> {
     let now = shared.clock.now();
     let limits = &shared.limits;
-    let known = limits.known.lock().news(now, &target.id).filter(|it| it.per_s.is_some());
+    let known = limits.known.lock().update(now, &target.id).filter(|it| it.per_s.is_some());
     let Some(known) = known else { return Ok(Permit { is_taken: false }) };
     let slot = match owner_of(shared, target) {
         None => take_local(shared, target, ownership(shared)),
@@ -214,8 +220,8 @@
     })
 }
 
-fn take_local(shared: &IngressShared, target: &TargetInstance, keeping: Keeping) -> Slot {
-    shared.limits.known.lock().take(shared.clock.now(), &target.id, keeping)
+fn take_local(shared: &IngressShared, target: &TargetInstance, keeping: Ownership) -> Slot {
+    shared.limits.known.lock().try_acquire(shared.clock.now(), &target.id, keeping)
 }
 
 /// Applies the response of the owner of a target's rate limit.
@@ -223,18 +229,18 @@
     let limits = &shared.limits;
     match slot {
         Slot::Taken => (),
-        Slot::Refused(ms) => limits.known.lock().refused(shared.clock.now(), &target.id, ms),
+        Slot::Refused(ms) => limits.known.lock().record_refusal(shared.clock.now(), &target.id, ms),
         Slot::Free => {
             let its = (target.id.as_str(), target.service.as_str());
             let made = AnswerSpan { sent: asked, received: shared.clock.now() };
-            let change = limits.known.lock().learn(made, its, None);
+            let change = limits.known.lock().apply(made, its, None);
             limits.log_change(shared, &target.id, change, "peer");
         }
     }
 }
 
 /// Answers a peer's request for a permit for a target whose rate limit this instance owns.
-pub(crate) fn answer_slot(shared: &IngressShared, known: LimitNews) -> Slot {
+pub(crate) fn serve_permit(shared: &IngressShared, known: LimitUpdate) -> Slot {
     let Some(target) = shared.target(&known.target) else { return Slot::Refused(OWNER_RETRY_MS) };
     if owner_of(shared, &target).is_some() {
         return Slot::Refused(OWNER_RETRY_MS);
@@ -242,7 +248,7 @@
     if shared.limits.known.lock().is_stale(&known) {
         return Slot::Free;
     }
-    take_news(shared, vec![known]);
+    apply_updates(shared, vec![known]);
     take_local(shared, &target, ownership(shared))
 }
 
@@ -264,13 +270,13 @@
         let now = shared.clock.now();
         let choice = pool.choose(now, policy, call, region, shared)?;
         let permit = match shared.target(&choice.address) {
-            Some(it) => ask(shared, &it).await,
+            Some(it) => acquire(shared, &it).await,
             // The sender will find that the target is gone.
             None => Ok(Permit { is_taken: false }),
         };
         match permit {
             Ok(it) => {
-                pool.placed(shared.clock.now(), &choice.address, call);
+                pool.record_placed(shared.clock.now(), &choice.address, call);
                 return Ok((choice, it));
             }
             Err(ms) => soonest = soonest.min(ms),
@@ -284,17 +290,17 @@
 pub(crate) async fn assign(
     shared: &Arc<IngressShared>,
     service: &str,
-    prompt: PromptAsk,
+    prompt: PromptRequest,
     patience_ms: Millis,
 ) -> Assignment {
     let within = prompt.confinement.bounds(&shared.topology);
     let call = prompt.call(within.as_deref());
-    let policy = prompt.policy.as_ref().and_then(|it| shared.experiments.now().policy(it));
+    let policy = prompt.policy.as_ref().and_then(|it| shared.experiments.active().policy(it));
     let pool = shared.pools.of(shared.clock.now(), service);
     let region = Some(shared.topology.own_region());
     match choose(shared, &pool, policy.as_deref(), &call, region).await {
         Ok((choice, permit)) => {
-            Assignment::To { target: choice.address, is_taken: permit.is_taken }
+            Assignment::To { target: choice.address, is_counted: permit.is_taken }
         }
         Err(NoTarget::Limited(ms)) if ms <= patience_ms => Assignment::Wait(ms),
         Err(NoTarget::Limited(soonest_ms)) => {
--- a/crates/holdpointd/src/ingress/limits/updates.rs
+++ b/crates/holdpointd/src/ingress/limits/updates.rs
@@ -11,7 +11,7 @@
 use holdpoint_core::{
     directory::{TargetId, TargetInstance},
     ids::Name,
-    target_limits::{Change, LimitNews},
+    target_limits::{Change, LimitUpdate},
 };
 use parking_lot::Mutex;
 use tokio::{
@@ -20,7 +20,7 @@
 };
 
 use super::owner_of;
-use crate::ingress::{peer_service::LIMITS, shared::IngressShared};
+use crate::ingress::{peer_service::RATE_LIMIT_PROTOCOL, shared::IngressShared};
 
 /// How long changes are collected before they are sent to owners together.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
@@ -59,13 +59,13 @@
 }
 
 /// Applies updates from a peer.
-pub(crate) fn take_news(shared: &IngressShared, news: Vec<LimitNews>) {
+pub(crate) fn apply_updates(shared: &IngressShared, news: Vec<LimitUpdate>) {
     let limits = &shared.limits;
     let now = shared.clock.now();
     for it in news {
         // An instance that has just started may receive a limit before it knows the target.
         let its = (it.target.as_str(), it.service.as_str());
-        let change = limits.known.lock().learn(it.made(now), its, it.per_s);
+        let change = limits.known.lock().apply(it.answer_span(now), its, it.per_s);
         limits.log_change(shared, &it.target, change, "peer");
         let concerns_all = matches!(change, Change::Began | Change::Ended);
         let is_owner =
@@ -90,7 +90,7 @@
                 sleep(BROADCAST_DELAY).await;
                 let ids = std::mem::take(&mut *outbox.for_all.lock());
                 let peers = shared.peers.all().into_iter();
-                let peers = peers.filter(|it| LIMITS <= it.1.protocol).map(|it| it.1.address);
+                let peers = peers.filter(|it| RATE_LIMIT_PROTOCOL <= it.1.protocol).map(|it| it.1.address);
                 send_to_peers(&shared, peers.collect(), &ids.into_iter().collect::<Vec<_>>());
             }
             _ = review_at.tick() => review(&shared),
@@ -115,7 +115,7 @@
         let shared = shared.clone();
         tokio::spawn(async move {
             let news = updates_for(&shared, &ids);
-            if shared.peers.hear_limits(&shared, &address, news).await.is_err() {
+            if shared.peers.send_limits(&shared, &address, news).await.is_err() {
                 // The next check sends them to their owner at that time.
                 let mut reported = shared.limits.outbox.reported.lock();
                 ids.iter().for_each(|it| drop(reported.remove(it)));
@@ -124,10 +124,10 @@
     }
 }
 
-fn updates_for(shared: &IngressShared, ids: &[TargetId]) -> Vec<LimitNews> {
+fn updates_for(shared: &IngressShared, ids: &[TargetId]) -> Vec<LimitUpdate> {
     let known = shared.limits.known.lock();
     let now = shared.clock.now();
-    ids.iter().filter_map(|it| known.news(now, it)).collect()
+    ids.iter().filter_map(|it| known.update(now, it)).collect()
 }
 
 /// Sends limits of some targets to peers. A peer that is not reached learns of them from responses of the
@@ -141,7 +141,7 @@
     tokio::spawn(async move {
         let send = |address: String| {
             let (shared, news) = (&shared, news.clone());
-            async move { shared.peers.hear_limits(shared, &address, news).await }
+            async move { shared.peers.send_limits(shared, &address, news).await }
         };
         addresses.into_iter().map(send).collect::<FuturesUnordered<_>>().count().await;
     });
@@ -157,7 +157,7 @@
     let targets: HashMap<TargetId, Option<TargetInstance>> =
         ids.into_iter().map(|id| (id.clone(), shared.target(&id))).collect();
     let is_known = |id: &str| targets.get(id).is_some_and(Option::is_some);
-    limits.known.lock().forget(now, is_known);
+    limits.known.lock().remove_expired(now, is_known);
     if targets.is_empty() {
         outbox.reported.lock().clear();
         outbox.incarnations.lock().clear();
@@ -169,7 +169,7 @@
         let owner = owner_of(shared, &target);
         let id = target.id;
         let mut known = limits.known.lock();
-        known.keep(now, &id, owner.is_none());
+        known.set_owned(now, &id, owner.is_none());
         // Only instances that observed the limit themselves report it.
         let is_observed = known.is_observed(&id);
         drop(known);
@@ -189,11 +189,11 @@
     if owned.is_empty() {
         return incarnations.clear();
     }
-    let peers = shared.peers.all().into_iter().filter(|it| LIMITS <= it.1.protocol);
+    let peers = shared.peers.all().into_iter().filter(|it| RATE_LIMIT_PROTOCOL <= it.1.protocol);
     let mut present = HashSet::new();
     let mut joined = Vec::new();
     for (name, peer) in peers {
-        let incarnation = (name, peer.life);
+        let incarnation = (name, peer.incarnation);
         if !incarnations.is_empty() && !incarnations.contains(&incarnation) {
             joined.push(peer.address);
         }
--- a/crates/holdpointd/src/ingress/links.rs
+++ b/crates/holdpointd/src/ingress/links.rs
@@ -15,7 +15,7 @@
 
 use holdpoint_core::{
     ids::Millis,
-    liveness::{self, Duty, Use},
+    liveness::{self, PeerAction, PeerUse},
 };
 use holdpoint_platform::Instant;
 use parking_lot::Mutex;
@@ -27,10 +27,10 @@
     events::{self, emit},
     ingress::{
         batches::StageLoads,
-        connections::guard,
-        follow::catch_up,
+        connections::set_socket_options,
+        follow::fetch_configuration,
         heard::{LastReceived, MonitoredStream},
-        peer_service::{IngressPeersClient, Standing, codec},
+        peer_service::{IngressPeersClient, PeerStatus, codec},
         shared::IngressShared,
     },
 };
@@ -68,7 +68,7 @@
         link.calls.fetch_add(1, Ordering::AcqRel);
         let now = shared.clock.now();
         let before = link.used.swap(now, Ordering::AcqRel);
-        if liveness::has_rested(now, before) {
+        if liveness::was_idle(now, before) {
             link.woken.notify_one();
         }
         UsedLink(link)
@@ -108,12 +108,12 @@
 }
 
 impl Link {
-    fn usage(&self, shared: &IngressShared) -> Use {
-        Use {
+    fn usage(&self, shared: &IngressShared) -> PeerUse {
+        PeerUse {
             calls: self.calls.load(Ordering::Acquire),
-            used: self.used.load(Ordering::Acquire),
+            last_use: self.used.load(Ordering::Acquire),
             // An owner of rate-limit state has to know which peers are unreachable.
-            is_standing: shared.batches.relies_on_owners() || shared.limits.keeps_any(),
+            is_permanent: shared.batches.relies_on_owners() || shared.limits.owns_any(),
         }
     }
 
@@ -182,14 +182,14 @@
         address: &str,
     ) -> Result<Link, PeerSilent> {
         let begun = Instant::now();
-        let limit = self.with_distance(address, CONNECT_TIMEOUT);
+        let limit = self.with_round_trips(address, CONNECT_TIMEOUT);
         let connected = tokio::time::timeout(limit, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = connected else {
             self.suspect(shared, address, "unreachable");
             return Err(PeerSilent);
         };
         self.record_round_trip(address, begun.elapsed());
-        guard(&stream).map_err(|_| PeerSilent)?;
+        set_socket_options(&stream).map_err(|_| PeerSilent)?;
         let last_received = LastReceived::new();
         let stream = MonitoredStream::new(stream, last_received.clone());
         let io = transport(codec().new_framed(stream), Cbor::default());
@@ -213,7 +213,7 @@
     }
 
     /// A timeout with the allowance for the peer's round-trip time added.
-    pub(crate) fn with_distance(&self, address: &str, limit: Duration) -> Duration {
+    pub(crate) fn with_round_trips(&self, address: &str, limit: Duration) -> Duration {
         let round_trips = self.round_trips.lock();
         // A peer that was never reached is assumed to be as far away as the farthest.
         let round_trip = round_trips.get(address).or_else(|| round_trips.values().max());
@@ -232,7 +232,7 @@
     }
 
     /// Marks the peer as suspect and drops its connection, unless a newer connection has replaced that.
-    pub(crate) fn lose(
+    pub(crate) fn mark_silent(
         &self,
         shared: &IngressShared,
         address: &str,
@@ -272,7 +272,7 @@
     }
 
     /// Ends a peer's suspicion, since it answers or has restarted.
-    pub(crate) fn trust(&self, address: &str) {
+    pub(crate) fn clear_suspicion(&self, address: &str) {
         if self.suspects.lock().remove(address).is_some() {
             self.suspects_revision.fetch_add(1, Ordering::AcqRel);
         }
@@ -292,38 +292,38 @@
 async fn monitor(shared: Arc<IngressShared>, address: String, link: Link) {
     let links = &shared.peers.links;
     loop {
-        match liveness::duty(shared.clock.now(), link.usage(&shared)) {
-            Duty::Ask => tokio::time::sleep(PING_INTERVAL).await,
-            Duty::Rest => {
+        match liveness::peer_action(shared.clock.now(), link.usage(&shared)) {
+            PeerAction::Probe => tokio::time::sleep(PING_INTERVAL).await,
+            PeerAction::Wait => {
                 let woken = tokio::time::timeout(IDLE_CHECK_INTERVAL, link.woken.notified()).await;
                 if woken.is_err() {
                     continue;
                 }
             }
-            Duty::Close => return links.close(&address, &link),
+            PeerAction::Close => return links.close(&address, &link),
         }
-        let silence = links.with_distance(&address, MAX_LARGE_SILENCE);
+        let silence = links.with_round_trips(&address, MAX_LARGE_SILENCE);
         if link.large.load(Ordering::Acquire) != 0 && link.last_received.silence() < silence {
             // The answer to a ping would queue behind the large one.
             continue;
         }
         let own_version = shared.configuration().version;
         let begun = Instant::now();
-        let limit = links.with_distance(&address, PING_TIMEOUT);
+        let limit = links.with_round_trips(&address, PING_TIMEOUT);
         match tokio::time::timeout(limit, check_peer(&shared, &address, &link, limit)).await {
             Ok(Ok(status)) => {
                 links.record_round_trip(&address, begun.elapsed());
-                links.trust(&address);
+                links.clear_suspicion(&address);
                 if !shared.peers.is_far(&address) {
                     let (times, loads) = (status.stage_times, status.stage_loads);
-                    shared.take_stage_loads(StageLoads { times, loads });
+                    shared.apply_stage_loads(StageLoads { times, loads });
                 }
                 if own_version < status.version {
-                    drop(tokio::spawn(catch_up(shared.clone(), address.clone())));
+                    drop(tokio::spawn(fetch_configuration(shared.clone(), address.clone())));
                 }
             }
             _ => {
-                links.lose(&shared, &address, &link.lost, "silent");
+                links.mark_silent(&shared, &address, &link.lost, "silent");
                 return;
             }
         }
@@ -336,13 +336,13 @@
     address: &str,
     link: &Link,
     limit: Duration,
-) -> Result<Standing, client::RpcError> {
+) -> Result<PeerStatus, client::RpcError> {
     let own_version = shared.configuration().version;
     let own_address = shared.settings.listen.peers.clone();
     match shared.peers.protocol_of(address) {
         0 => {
             let version = link.client.ping(context_for(limit), own_version, own_address).await?;
-            Ok(Standing { version, ..Standing::default() })
+            Ok(PeerStatus { version, ..PeerStatus::default() })
         }
         _ => link.client.check(context_for(limit), own_version, own_address).await,
     }
--- a/crates/holdpointd/src/ingress/mod.rs
+++ b/crates/holdpointd/src/ingress/mod.rs
@@ -60,7 +60,7 @@
 use tokio::time::{interval, sleep, timeout};
 
 use crate::{
-    Ended, StartError,
+    StartError, StopOutcome,
     events::{self, emit},
     ingress::shared::IngressShared,
 };
@@ -98,9 +98,9 @@
         tokio::spawn(watch::follow_targets(shared.clone()));
         tokio::spawn(watch::follow_resources(shared.clone()));
         tokio::spawn(watch::follow_peers(shared.clone()));
-        tokio::spawn(watch::write_again(shared.clone()));
+        tokio::spawn(watch::rewrite_records(shared.clone()));
         tokio::spawn(follow::run(shared.clone()));
-        tokio::spawn(follow::settle_lapses(shared.clone()));
+        tokio::spawn(follow::resolve_lapses(shared.clone()));
         tokio::spawn(peer_service::serve(shared.clone(), peers));
         tokio::spawn(front::readiness(shared.clone(), readiness));
         tokio::spawn(front::callers(shared.clone(), callers));
@@ -108,7 +108,7 @@
             tokio::spawn(front::metrics(shared.clone(), it));
         }
         tokio::spawn(releases::run(shared.clone()));
-        if shared.topology.is_split() {
+        if shared.topology.has_regions() {
             tokio::spawn(spill::run(shared.clone()));
         }
         tokio::spawn(rollouts::run(shared.clone()));
@@ -147,13 +147,13 @@
 
     /// Number of known target instances that are not draining.
     pub fn target_count(&self) -> usize {
-        self.shared.targets().iter().filter(|it| !it.is_leaving).count()
+        self.shared.targets().iter().filter(|it| !it.is_draining).count()
     }
 
     /// Number of target instances that may get new work: neither draining nor in an evacuated domain.
     pub fn open_count(&self) -> usize {
         let is_open = |it: &TargetInstance| !self.shared.domains.is_evacuated(&it.domain);
-        self.shared.targets().iter().filter(|it| !it.is_leaving && is_open(it)).count()
+        self.shared.targets().iter().filter(|it| !it.is_draining && is_open(it)).count()
     }
 
     /// Evacuated failure domains, including those without known targets.
@@ -168,18 +168,18 @@
 
     /// Stops gracefully within the platform's grace period: reports not ready at once, accepts requests
     /// until the load balancer has noticed, then waits for the requests in flight.
-    pub async fn stop(self) -> Ended {
+    pub async fn stop(self) -> StopOutcome {
         let shared = &self.shared;
         let started_at = Instant::now();
         let timing = &shared.settings.timing;
         let grace = Duration::from_secs_f64(timing.grace_s).saturating_sub(STOP_MARGIN);
         let detail = format!("in_flight={}", shared.in_flight.count());
         emit(events::STOPPING, &shared.settings.instance, &detail);
-        shared.is_leaving.store(true, Ordering::Release);
+        shared.is_draining.store(true, Ordering::Release);
         shared.peers.start_draining();
         let deregistration = tokio::spawn({
             let shared = shared.clone();
-            async move { watch::leave_peers(&shared).await }
+            async move { watch::remove_own_entry(&shared).await }
         });
         sleep(Duration::from_millis(timing.linger_ms).min(grace)).await;
         shared.closing.send_replace(true);
@@ -189,7 +189,7 @@
         deregistration.abort();
         let detail = format!("in_flight={}", shared.in_flight.count());
         emit(events::STOPPED, &shared.settings.instance, &detail);
-        if is_drained { Ended::Drained } else { Ended::Cut }
+        if is_drained { StopOutcome::Drained } else { StopOutcome::Cut }
     }
 }
 
@@ -225,13 +225,13 @@
         tokio::select! {
             _ = pump.tick() => {
                 if let Some(it) = detector.detect() {
-                    shared.woken_after(it);
+                    shared.handle_resume(it);
                 }
-                batches::pump_all(&shared);
+                batches::start_all_calls(&shared);
             }
             _ = sweep.tick() => {
                 shared.connections.sweep();
-                shared.backoffs.lock().forget(shared.clock.now());
+                shared.backoffs.lock().remove_expired(shared.clock.now());
                 domains::settle(&shared);
             }
         }
--- a/crates/holdpointd/src/ingress/news.rs
+++ b/crates/holdpointd/src/ingress/news.rs
@@ -12,18 +12,18 @@
 use holdpoint_core::{
     change_log::Revision,
     directory::{Directory, TargetId, TargetInstance},
-    era::{Era, Position},
-    evacuation::{Evacuations, Horizon},
+    era::{Epoch, Position},
+    evacuation::{Evacuations, LogOffset},
     ids::{Millis, Name},
     ingress::Version,
     readers::sends_configuration,
-    rollout::ToldOrders,
+    rollout::OrdersSnapshot,
 };
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
 use crate::ingress::{
-    peer_service::SUMS,
+    peer_service::TARGET_SUM_PROTOCOL,
     peers::{Peer, own_capacity},
     shared::IngressShared,
 };
@@ -40,7 +40,7 @@
 
 /// A change of the replicated state of an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum News {
+pub(crate) enum StateChange {
     /// A target joined or changed.
     Target(TargetInstance),
     /// A target was removed.
@@ -53,7 +53,7 @@
 
 /// Position up to which a follower has followed another instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Place {
+pub(crate) struct FollowPosition {
     /// Incarnation of the other instance; 0 if none was followed.
     #[serde(rename = "life")]
     pub(crate) incarnation: u64,
@@ -68,13 +68,13 @@
     pub(crate) version: Version,
 }
 
-impl Place {
+impl FollowPosition {
     /// The same position with the hash of the targets known here, in the form that the peer at an address reads.
-    pub(crate) fn with_targets(self, shared: &IngressShared, address: &str) -> Place {
-        if shared.peers.protocol_of(address) < SUMS {
-            return Place { digest: shared.digest(), sum: None, ..self };
+    pub(crate) fn with_targets(self, shared: &IngressShared, address: &str) -> FollowPosition {
+        if shared.peers.protocol_of(address) < TARGET_SUM_PROTOCOL {
+            return FollowPosition { digest: shared.digest(), sum: None, ..self };
         }
-        Place { digest: 0, sum: Some(shared.targets_sum()), ..self }
+        FollowPosition { digest: 0, sum: Some(shared.targets_sum()), ..self }
     }
 
     /// Whether the follower knows the same targets as this instance.
@@ -94,27 +94,27 @@
 
 /// Request of a follower: the state that it knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Known {
+pub(crate) struct FollowRequest {
     /// Version of its configuration.
     pub(crate) version: Version,
     /// How long the response may wait for an update, in milliseconds.
     pub(crate) wait_ms: Millis,
     /// Position to follow from; `None` if it only asks for a newer configuration.
     #[serde(rename = "place")]
-    pub(crate) position: Option<Place>,
+    pub(crate) position: Option<FollowPosition>,
     /// Whether it wants a large configuration too. Instances near the store read one from there, to spare the
     /// link of the instance that they follow. Instances far from it get one, packed, from a peer, to spare the
     /// link between the regions.
     pub(crate) wants_large: bool,
     /// Offset up to which it knows the orders for failure domains; peers of earlier versions send none.
     #[serde(default)]
-    pub(crate) orders: Option<Horizon>,
+    pub(crate) orders: Option<LogOffset>,
     /// Epoch of the log of these orders; peers of earlier versions send none.
-    #[serde(default)]
-    pub(crate) era: Option<Era>,
+    #[serde(rename = "era", default)]
+    pub(crate) epoch: Option<Epoch>,
     /// Offset up to which it knows that log's rollout orders; peers of earlier versions send none.
     #[serde(default)]
-    pub(crate) rollouts: Option<Horizon>,
+    pub(crate) rollouts: Option<LogOffset>,
     /// Hash of the peers that it knows, if it reads [`Content::Packed`]; peers of earlier versions send
     /// none.
     #[serde(default)]
@@ -127,18 +127,18 @@
     pub(crate) wants_leaders: bool,
 }
 
-impl Known {
+impl FollowRequest {
     /// A request that only asks for a newer configuration.
-    pub(crate) fn configuration_only(shared: &IngressShared, wants_large: bool) -> Known {
+    pub(crate) fn configuration_only(shared: &IngressShared, wants_large: bool) -> FollowRequest {
         let version = shared.configuration().version;
-        let Position { era, offset } = shared.domains.position();
-        Known {
+        let Position { epoch: era, offset } = shared.domains.position();
+        FollowRequest {
             version,
             wait_ms: 0,
             position: None,
             wants_large,
             orders: Some(offset),
-            era,
+            epoch: era,
             rollouts: Some(shared.rollouts.position().offset),
             // Without a position, the response contains no peers.
             peers_digest: Some(0),
@@ -163,8 +163,8 @@
     #[serde(default)]
     pub(crate) steady_ms: Option<Millis>,
     /// Newest epoch of the store known to the responding instance; peers of earlier versions send none.
-    #[serde(default)]
-    pub(crate) era: Option<Era>,
+    #[serde(rename = "era", default)]
+    pub(crate) epoch: Option<Epoch>,
     /// Version of the active configuration.
     pub(crate) version: Version,
     /// That configuration, if it is newer than the follower's and the follower wants it.
@@ -177,7 +177,7 @@
     pub(crate) evacuations: Option<Evacuations>,
     /// The rollout orders, if more is known than the follower knows.
     #[serde(default)]
-    pub(crate) rollouts: Option<ToldOrders>,
+    pub(crate) rollouts: Option<OrdersSnapshot>,
     /// Whether the responding instance knows all peers in the store rather than only some of them; peers of
     /// earlier versions send none.
     #[serde(default)]
@@ -194,7 +194,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Content {
     /// Changes since the follower's position.
-    News(Vec<News>),
+    News(Vec<StateChange>),
     /// Snapshot for peers of earlier versions.
     All {
         /// The [`TargetList`] as JSON; `None` if the follower's targets are the same, or if the list here is
@@ -242,7 +242,8 @@
     service: Name,
     domain: Name,
     slots: u32,
-    is_leaving: bool,
+    #[serde(rename = "is_leaving")]
+    is_draining: bool,
     /// Version of their software; peers of earlier versions send none.
     #[serde(default)]
     version: String,
@@ -256,14 +257,21 @@
         let mut groups: BTreeMap<(&str, &str, u32, bool, &str), Vec<_>> = BTreeMap::new();
         for it in directory.listed() {
             let (service, version) = (it.service.as_str(), it.version.as_str());
-            let common = (service, it.domain.as_str(), it.slots, it.is_leaving, version);
+            let common = (service, it.domain.as_str(), it.slots, it.is_draining, version);
             let member = (it.id.clone(), it.address.clone(), it.sequence);
             groups.entry(common).or_default().push(member);
         }
         type Common<'a> = (&'a str, &'a str, u32, bool, &'a str);
         let group = |((service, domain, slots, is_leaving, version), members): (Common<'_>, _)| {
             let (service, domain) = (service.to_owned(), domain.to_owned());
-            TargetGroup { service, domain, slots, is_leaving, version: version.to_owned(), members }
+            TargetGroup {
+                service,
+                domain,
+                slots,
+                is_draining: is_leaving,
+                version: version.to_owned(),
+                members,
+            }
         };
         TargetList {
             listed: groups.into_iter().map(group).collect(),
@@ -284,7 +292,8 @@
         let born: HashMap<TargetId, Millis> = self.born.into_iter().collect();
         let (cold, born) = (&cold, &born);
         let targets = self.listed.into_iter().flat_map(|group| {
-            let TargetGroup { service, domain, slots, is_leaving, version, members } = group;
+            let TargetGroup { service, domain, slots, is_draining: is_leaving, version, members } =
+                group;
             members.into_iter().map(move |(id, address, sequence)| TargetInstance {
                 cold_left_ms: cold.get(&id).copied(),
                 born: born.get(&id).copied(),
@@ -293,7 +302,7 @@
                 address,
                 domain: domain.clone(),
                 slots,
-                is_leaving,
+                is_draining: is_leaving,
                 sequence,
                 version: version.clone(),
             })
@@ -303,11 +312,11 @@
 }
 
 /// Responds to a request of a follower.
-pub(crate) async fn answer(shared: &IngressShared, known: Known) -> Update {
+pub(crate) async fn respond(shared: &IngressShared, known: FollowRequest) -> Update {
     // After a restart of all instances, followers get the response once the list has been read, without
     // repeated requests.
     let _ = timeout(Duration::from_millis(known.wait_ms).min(MAX_WAIT), shared.first_read()).await;
-    let mut has_news = shared.has_news.subscribe();
+    let mut has_news = shared.updated.subscribe();
     if !is_behind(shared, &known) && shared.fresh_age().is_some() {
         let wait = Duration::from_millis(known.wait_ms).min(MAX_WAIT);
         // After a timeout, the response contains no changes.
@@ -321,7 +330,7 @@
     let (changes, revision) = shared.changes_since(known.position.map_or(0, |it| it.revision));
     let is_fresh = shared.fresh_age().is_some();
     let content = known.position.map(|position| {
-        match changes.filter(|_| position.incarnation == shared.life) {
+        match changes.filter(|_| position.incarnation == shared.incarnation) {
             Some(it) if known.peers_digest.is_some() && MIN_PACKED_CHANGES <= it.len() => {
                 Content::PackedNews(shared.packed.changes((position.revision, revision), &it))
             }
@@ -342,19 +351,20 @@
     let age_ms = shared.fresh_age();
     let steady_ms = shared.steady_ms();
     let evacuations = lacks_orders(shared, &known).then(|| shared.domains.state());
-    let rollouts = lacks_rollouts(shared, &known).then(|| shared.rollouts.told(shared.clock.now()));
+    let rollouts =
+        lacks_rollouts(shared, &known).then(|| shared.rollouts.snapshot(shared.clock.now()));
     Update {
-        incarnation: shared.life,
+        incarnation: shared.incarnation,
         revision,
         age_ms,
         steady_ms,
-        era: shared.eras.newest(),
+        epoch: shared.epochs.newest(),
         version,
         configuration,
         packed_configuration,
         evacuations,
         rollouts,
-        knows_peers: Some(shared.peers.were_read()),
+        knows_peers: Some(shared.peers.is_complete()),
         content,
         leaders: if known.wants_leaders { leaders(shared).await } else { None },
     }
@@ -368,21 +378,21 @@
         let _ = peers_known.wait_for(|it| *it).await;
     };
     timeout(LEADERS_WAIT, known).await.ok()?;
-    shared.peers.were_read().then(|| shared.packed.leaders(shared))
+    shared.peers.is_complete().then(|| shared.packed.leaders(shared))
 }
 
 /// Whether a follower needs the whole list of targets: the changes since its position are no longer kept, and
 /// its targets differ.
-fn needs_target_list(shared: &IngressShared, position: &Place) -> bool {
-    let is_kept =
-        position.incarnation == shared.life && shared.changes_since(position.revision).0.is_some();
+fn needs_target_list(shared: &IngressShared, position: &FollowPosition) -> bool {
+    let is_kept = position.incarnation == shared.incarnation
+        && shared.changes_since(position.revision).0.is_some();
     !is_kept && !position.has_targets_of(shared)
 }
 
 /// Snapshot of the state here, without the lists whose hashes equal the follower's.
 fn snapshot(
     shared: &IngressShared,
-    position: &Place,
+    position: &FollowPosition,
     peers_digest: Option<u64>,
     is_fresh: bool,
 ) -> Content {
@@ -404,10 +414,10 @@
 }
 
 /// Whether the response is due at once: the follower lacks changes that are known here, or sent no position.
-fn is_behind(shared: &IngressShared, known: &Known) -> bool {
-    let is_same = |it: Place| {
+fn is_behind(shared: &IngressShared, known: &FollowRequest) -> bool {
+    let is_same = |it: FollowPosition| {
         let (changes, _) = shared.changes_since(it.revision);
-        it.incarnation == shared.life && changes.is_some_and(|it| it.is_empty())
+        it.incarnation == shared.incarnation && changes.is_some_and(|it| it.is_empty())
     };
     known.version < shared.configuration().version
         || lacks_orders(shared, known)
@@ -415,14 +425,14 @@
 }
 
 /// Whether the follower lacks orders for failure domains or rollout orders.
-fn lacks_orders(shared: &IngressShared, known: &Known) -> bool {
-    let at = |offset| Position { era: known.era, offset };
+fn lacks_orders(shared: &IngressShared, known: &FollowRequest) -> bool {
+    let at = |offset| Position { epoch: known.epoch, offset };
     known.orders.is_some_and(|it| shared.domains.position().is_after(at(it)))
         || lacks_rollouts(shared, known)
 }
 
 /// Whether the follower lacks rollout orders.
-fn lacks_rollouts(shared: &IngressShared, known: &Known) -> bool {
-    let at = |offset| Position { era: known.era, offset };
+fn lacks_rollouts(shared: &IngressShared, known: &FollowRequest) -> bool {
+    let at = |offset| Position { epoch: known.epoch, offset };
     known.rollouts.is_some_and(|it| shared.rollouts.position().is_after(at(it)))
 }
--- a/crates/holdpointd/src/ingress/packed.rs
+++ b/crates/holdpointd/src/ingress/packed.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::ingress::{
-    news::News,
+    news::StateChange,
     peers::Peer,
     shared::{IngressShared, ListKey},
 };
@@ -33,18 +33,18 @@
 
 /// Why a packed list cannot be decoded.
 #[derive(Debug)]
-pub(crate) enum Unreadable {
+pub(crate) enum UnpackError {
     /// It cannot be decompressed.
     Compression(std::io::Error),
     /// It is not valid JSON of the expected form, also because it was cut off at the maximum size.
     Content(serde_json::Error),
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for UnpackError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::Compression(it) => write!(f, "cannot be decompressed: {it}"),
-            Unreadable::Content(it) => write!(f, "unexpected content: {it}"),
+            UnpackError::Compression(it) => write!(f, "cannot be decompressed: {it}"),
+            UnpackError::Content(it) => write!(f, "unexpected content: {it}"),
         }
     }
 }
@@ -113,7 +113,7 @@
 
     /// The changes between two revisions. They are cached, as most followers are at the same revision and ask
     /// at the same time.
-    pub(crate) fn changes(&self, span: (Revision, Revision), changes: &[News]) -> Bytes {
+    pub(crate) fn changes(&self, span: (Revision, Revision), changes: &[StateChange]) -> Bytes {
         let mut cached = self.changes.lock();
         match &*cached {
             Some((cached_key, packed)) if *cached_key == span => packed.clone(),
@@ -151,7 +151,7 @@
         match &*cached {
             Some((cached_key, packed)) if *cached_key == digest => packed.clone(),
             _ => {
-                let is_leaving = shared.is_leaving.load(Ordering::Acquire);
+                let is_leaving = shared.is_draining.load(Ordering::Acquire);
                 let own = (!is_leaving).then(|| shared.own_peer());
                 let packed = pack(&shared.peers.leaders(own.as_ref()));
                 *cached = Some((digest, packed.clone()));
@@ -191,14 +191,14 @@
 }
 
 /// Decodes a packed value.
-pub(crate) fn unpack<T: DeserializeOwned>(packed: &[u8]) -> Result<T, Unreadable> {
-    serde_json::from_slice(&decompress(packed)?).map_err(Unreadable::Content)
+pub(crate) fn unpack<T: DeserializeOwned>(packed: &[u8]) -> Result<T, UnpackError> {
+    serde_json::from_slice(&decompress(packed)?).map_err(UnpackError::Content)
 }
 
 /// Decompresses bytes; output beyond [`MAX_UNPACKED_BYTES`] is cut off.
-pub(crate) fn decompress(packed: &[u8]) -> Result<Bytes, Unreadable> {
+pub(crate) fn decompress(packed: &[u8]) -> Result<Bytes, UnpackError> {
     let mut bytes = Vec::new();
     let mut decoder = DeflateDecoder::new(packed).take(MAX_UNPACKED_BYTES);
-    decoder.read_to_end(&mut bytes).map_err(Unreadable::Compression)?;
+    decoder.read_to_end(&mut bytes).map_err(UnpackError::Compression)?;
     Ok(Bytes::from(bytes))
 }
--- a/crates/holdpointd/src/ingress/peer_service.rs
+++ b/crates/holdpointd/src/ingress/peer_service.rs
@@ -15,7 +15,7 @@
     quarantine::Verdict,
     route::Call,
     spill::Lease,
-    target_limits::{LimitNews, Slot},
+    target_limits::{LimitUpdate, Slot},
 };
 use serde::{Deserialize, Serialize};
 use tarpc::{
@@ -29,14 +29,14 @@
 
 use crate::ingress::{
     batches::StageLoads,
-    connections::guard,
-    departures::{self, Departure},
-    follow::catch_up,
+    connections::set_socket_options,
+    departures::{self, DrainNotice},
+    follow::fetch_configuration,
     limits::{self, Assignment},
-    news::{self, Known, Update},
-    piece_ask::{PieceAsk, PieceResult},
+    news::{self, FollowRequest, Update},
+    piece_ask::{ItemRequest, ItemResult},
     quarantine::{self, RunReport},
-    releases::tell_makers,
+    releases::notify_makers,
     rollouts::{self, DriverAnswer, RolloutReport},
     shared::IngressShared,
 };
@@ -51,12 +51,12 @@
 /// First protocol version with [`IngressPeers::lend`].
 pub(crate) const LENDING_PROTOCOL: u32 = 3;
 /// First protocol version with [`IngressPeers::report_runs`] and [`IngressPeers::tell_verdicts`].
-pub(crate) const QUARANTINES: u32 = 4;
+pub(crate) const QUARANTINE_PROTOCOL: u32 = 4;
 /// First protocol version that reads [`news::Place::sum`].
-pub(crate) const SUMS: u32 = 5;
+pub(crate) const TARGET_SUM_PROTOCOL: u32 = 5;
 /// First protocol version with [`IngressPeers::take_slot`], [`IngressPeers::hear_limits`] and
 /// [`IngressPeers::assign`].
-pub(crate) const LIMITS: u32 = 6;
+pub(crate) const RATE_LIMIT_PROTOCOL: u32 = 6;
 /// First protocol version with [`IngressPeers::make_pieces`] and [`IngressPeers::tell_departures`].
 pub(crate) const DRAIN_PROTOCOL: u32 = 7;
 
@@ -64,16 +64,16 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ItemResults {
     /// The results, in the order of the items.
-    pub(crate) results: Vec<PieceResult>,
+    pub(crate) results: Vec<ItemResult>,
     /// Drain notices of the targets that made the results. The caller receives them with the results, so that
     /// it also knows of them if it then loses its connections to all peers.
     #[serde(default)]
-    pub(crate) departures: Vec<Departure>,
+    pub(crate) departures: Vec<DrainNotice>,
 }
 
 /// Response to a health check between instances.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Standing {
+pub(crate) struct PeerStatus {
     /// Version of its active configuration.
     pub(crate) version: Version,
     /// Services that it batches, with the time that a stage takes, in milliseconds.
@@ -86,7 +86,7 @@
 
 /// A prompt for which an instance requests a target.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct PromptAsk {
+pub(crate) struct PromptRequest {
     /// Work, in tokens.
     pub(crate) work: f64,
     /// Work that a cached prefix saves, in tokens.
@@ -106,7 +106,7 @@
     pub(crate) confinement: Confinement,
 }
 
-impl PromptAsk {
+impl PromptRequest {
     /// The routing call for this prompt, limited to targets within `within`.
     pub(crate) fn call<'a>(&'a self, within: Option<&'a Bounds>) -> Call<'a> {
         Call {
@@ -127,20 +127,20 @@
 #[tarpc::service]
 pub(crate) trait IngressPeers {
     /// Processes work items of a service's stage.
-    async fn make(service: Name, asks: Vec<PieceAsk>) -> Vec<PieceResult>;
+    async fn make(service: Name, asks: Vec<ItemRequest>) -> Vec<ItemResult>;
     /// Like `make`, and returns drain notices too.
-    async fn make_pieces(service: Name, asks: Vec<PieceAsk>) -> ItemResults;
+    async fn make_pieces(service: Name, asks: Vec<ItemRequest>) -> ItemResults;
     /// Applies drain notices of targets, and returns those that this instance knows.
-    async fn tell_departures(news: Vec<Departure>) -> Vec<Departure>;
+    async fn tell_departures(news: Vec<DrainNotice>) -> Vec<DrainNotice>;
     /// Chooses the target of a service for a prompt.
-    async fn place(service: Name, prompt: PromptAsk) -> Option<TargetId>;
+    async fn place(service: Name, prompt: PromptRequest) -> Option<TargetId>;
     /// Releases results of a service's stage.
     async fn give_up(service: Name, handles: Vec<String>);
     /// Returns the version of the active configuration. `known` is the version that the caller has, `address`
     /// the caller's address.
     async fn ping(known: Version, address: String) -> Version;
     /// Like `ping`, and returns the load of the services that the instance batches too.
-    async fn check(known: Version, address: String) -> Standing;
+    async fn check(known: Version, address: String) -> PeerStatus;
     /// Lends capacity slots of a service to its owner in the caller's region, which cannot serve all requests in
     /// time.
     async fn lend(service: Name, wanted: u32) -> Lease;
@@ -157,14 +157,14 @@
     async fn tell_verdicts(verdicts: Vec<Verdict>);
     /// Asks the owner of a target's rate-limit state to admit a request. `known` is what the caller knows of the
     /// limit.
-    async fn take_slot(known: LimitNews) -> Slot;
+    async fn take_slot(known: LimitUpdate) -> Slot;
     /// Receives rate limits that targets have reported.
-    async fn hear_limits(news: Vec<LimitNews>);
+    async fn hear_limits(news: Vec<LimitUpdate>);
     /// Chooses the target for a prompt, and admits the prompt there. `patience_ms` is the longest time that the
     /// request can wait for that.
-    async fn assign(service: Name, prompt: PromptAsk, patience_ms: Millis) -> Assignment;
+    async fn assign(service: Name, prompt: PromptRequest, patience_ms: Millis) -> Assignment;
     /// Returns what has changed since the state that `known` describes; waits for a while if nothing has.
-    async fn follow(known: Known) -> Update;
+    async fn follow(known: FollowRequest) -> Update;
 }
 
 /// Decodes the frame of a request to JSON.
@@ -191,7 +191,7 @@
 pub(crate) async fn serve(shared: Arc<IngressShared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        if guard(&stream).is_err() {
+        if set_socket_options(&stream).is_err() {
             continue;
         }
         let io: Transport<_, _, _, _> = transport(codec().new_framed(stream), Cbor::default());
@@ -214,25 +214,29 @@
         self,
         _: context::Context,
         service: Name,
-        asks: Vec<PieceAsk>,
-    ) -> Vec<PieceResult> {
-        self.shared.batches.make(&self.shared, &service, asks).await
+        asks: Vec<ItemRequest>,
+    ) -> Vec<ItemResult> {
+        self.shared.batches.process(&self.shared, &service, asks).await
     }
 
     async fn make_pieces(
         self,
         context: context::Context,
         service: Name,
-        asks: Vec<PieceAsk>,
+        asks: Vec<ItemRequest>,
     ) -> ItemResults {
         let shared = self.shared.clone();
         let results = self.make(context, service, asks).await;
-        let makers = results.iter().flatten().filter_map(|it| stages::maker(it));
+        let makers = results.iter().flatten().filter_map(|it| stages::producer(it));
         let departures = departures::notices_for(&shared, makers);
         ItemResults { results, departures }
     }
 
-    async fn tell_departures(self, _: context::Context, news: Vec<Departure>) -> Vec<Departure> {
+    async fn tell_departures(
+        self,
+        _: context::Context,
+        news: Vec<DrainNotice>,
+    ) -> Vec<DrainNotice> {
         departures::exchange_notices(&self.shared, news)
     }
 
@@ -240,7 +244,7 @@
         self,
         _: context::Context,
         service: Name,
-        prompt: PromptAsk,
+        prompt: PromptRequest,
     ) -> Option<TargetId> {
         // A caller that uses `place` checks no rate limits, so the prompt is admitted here.
         match limits::assign(&self.shared, &service, prompt, 0).await {
@@ -249,40 +253,40 @@
         }
     }
 
-    async fn take_slot(self, _: context::Context, known: LimitNews) -> Slot {
-        limits::answer_slot(&self.shared, known)
+    async fn take_slot(self, _: context::Context, known: LimitUpdate) -> Slot {
+        limits::serve_permit(&self.shared, known)
     }
 
-    async fn hear_limits(self, _: context::Context, news: Vec<LimitNews>) {
-        limits::take_news(&self.shared, news);
+    async fn hear_limits(self, _: context::Context, news: Vec<LimitUpdate>) {
+        limits::apply_updates(&self.shared, news);
     }
 
     async fn assign(
         self,
         _: context::Context,
         service: Name,
-        prompt: PromptAsk,
+        prompt: PromptRequest,
         patience_ms: Millis,
     ) -> Assignment {
         limits::assign(&self.shared, &service, prompt, patience_ms).await
     }
 
     async fn give_up(self, _: context::Context, service: Name, handles: Vec<String>) {
-        tell_makers(&self.shared, &service, handles);
+        notify_makers(&self.shared, &service, handles);
     }
 
     async fn ping(self, _: context::Context, known: Version, address: String) -> Version {
         let active = self.shared.configuration().version;
         if active < known {
-            tokio::spawn(catch_up(self.shared, address));
+            tokio::spawn(fetch_configuration(self.shared, address));
         }
         active
     }
 
-    async fn check(self, context: context::Context, known: Version, address: String) -> Standing {
+    async fn check(self, context: context::Context, known: Version, address: String) -> PeerStatus {
         let StageLoads { times, loads } = self.shared.batches.stage_loads();
         let version = self.ping(context, known, address).await;
-        Standing { version, stage_times: times, stage_loads: loads }
+        PeerStatus { version, stage_times: times, stage_loads: loads }
     }
 
     async fn lend(self, _: context::Context, service: Name, wanted: u32) -> Lease {
@@ -310,15 +314,15 @@
     }
 
     async fn report_runs(self, _: context::Context, reports: Vec<RunReport>) {
-        quarantine::take_reports(&self.shared, reports);
+        quarantine::apply_reports(&self.shared, reports);
     }
 
     async fn tell_verdicts(self, _: context::Context, verdicts: Vec<Verdict>) {
-        quarantine::take_verdicts(&self.shared, verdicts, "peer");
+        quarantine::apply_verdicts(&self.shared, verdicts, "peer");
     }
 
-    async fn follow(self, _: context::Context, known: Known) -> Update {
-        news::answer(&self.shared, known).await
+    async fn follow(self, _: context::Context, known: FollowRequest) -> Update {
+        news::respond(&self.shared, known).await
     }
 }
 
--- a/crates/holdpointd/src/ingress/peers.rs
+++ b/crates/holdpointd/src/ingress/peers.rs
@@ -33,10 +33,10 @@
 };
 
 use self::view::View;
-pub(crate) use self::{calls::make_anywhere, view::Leaders};
+pub(crate) use self::{calls::process_anywhere, view::Leaders};
 
 /// Time limit for a peer of the same region to choose a target; after that, this instance chooses it.
-pub(crate) const PLACE_LIMIT: Duration = Duration::from_millis(60);
+pub(crate) const TARGET_CHOICE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Set of instances that the owner of a service is chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// All instances.
     Any,
     /// Instances of one region.
-    Of(&'a str),
+    Region(&'a str),
 }
 
 /// Sources of the store's state for this instance, in order of preference, and its own role.
@@ -55,11 +55,11 @@
     /// Whether this instance relays updates from readers to others.
     pub(crate) is_relay: bool,
     /// Addresses of the peers that it follows.
-    pub(crate) asked: Vec<String>,
+    pub(crate) followed: Vec<String>,
     /// Addresses of the peers that read the store.
     pub(crate) readers: Vec<String>,
     /// Delay before this instance reads the store itself if none of the peers that it follows has read it.
-    pub(crate) patience: Duration,
+    pub(crate) read_delay: Duration,
 }
 
 /// A peer as described by its entry in the store.
@@ -68,7 +68,8 @@
     /// IP address and port of its RPC server.
     pub(crate) address: String,
     /// Id of the incarnation of its process.
-    pub(crate) life: String,
+    #[serde(rename = "life")]
+    pub(crate) incarnation: String,
     /// Processor and link capacity that it may use.
     #[serde(default)]
     pub(crate) capacity: Capacity,
@@ -88,7 +89,7 @@
     /// Mbit/s, protocol version, failure domain and round-trip time to the store in milliseconds (0 if not
     /// measured), separated by spaces.
     pub(crate) fn entry(&self) -> String {
-        let Peer { address, life, capacity, protocol, domain, store_ms } = self;
+        let Peer { address, incarnation: life, capacity, protocol, domain, store_ms } = self;
         let Capacity { millicores, link_mbps } = capacity;
         let store_ms = store_ms.unwrap_or(0);
         format!("{address} {life} {millicores} {link_mbps} {protocol} {domain} {store_ms}")
@@ -106,7 +107,7 @@
         let protocol = number();
         let domain = fields.next().unwrap_or_default().to_owned();
         let store_ms = fields.next().and_then(|it| it.parse().ok()).filter(|it| *it != 0);
-        Some(Peer { address, life, capacity, protocol, domain, store_ms })
+        Some(Peer { address, incarnation: life, capacity, protocol, domain, store_ms })
     }
 }
 
@@ -181,7 +182,7 @@
         self.revision.fetch_add(1, Ordering::AcqRel);
         let Some(peer) = peer else { return known.remove(name).is_some() };
         // A new or changed entry shows a restart, so earlier timeouts at this address no longer count.
-        self.links.trust(&peer.address);
+        self.links.clear_suspicion(&peer.address);
         known.insert(name.to_owned(), peer);
         true
     }
@@ -204,14 +205,14 @@
 
     /// Records that the list of peers is complete: read from the store, or received from an instance that knows
     /// it.
-    pub(crate) fn note_read(&self) {
+    pub(crate) fn mark_complete(&self) {
         if !self.were_read.swap(true, Ordering::AcqRel) {
             self.revision.fetch_add(1, Ordering::AcqRel);
         }
     }
 
     /// Whether the list of peers has been complete once. It may be outdated.
-    pub(crate) fn were_read(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.were_read.load(Ordering::Acquire)
     }
 
@@ -226,7 +227,7 @@
     }
 
     /// Sets the round-trip time of this instance to the store, in milliseconds.
-    pub(crate) fn note_store_trip(&self, ms: Millis) {
+    pub(crate) fn set_store_ms(&self, ms: Millis) {
         self.own_store_ms.store(ms, Ordering::Release);
     }
 
@@ -242,7 +243,7 @@
 
     /// Addresses of all peers and seeds: responsive ones first, then those of the same region. Seeds that are
     /// not known as peers count as remote.
-    pub(crate) fn to_ask(&self, topology: &Topology) -> Vec<String> {
+    pub(crate) fn addresses(&self, topology: &Topology) -> Vec<String> {
         let mut is_far: HashMap<String, bool> =
             self.seeds.iter().map(|it| (it.clone(), true)).collect();
         let known = self.known.lock();
@@ -274,11 +275,11 @@
     /// Address of the owner of a key among `owners`, chosen by rendezvous hashing; `None` if it is this
     /// instance.
     pub(crate) fn owner_of(&self, owners: Owners<'_>, key: &str) -> Option<String> {
-        self.owner_since(0, owners, key)
+        self.owner_with_protocol(0, owners, key)
     }
 
     /// Like [`Peers::owner_of`], among instances with at least the given protocol version.
-    pub(crate) fn owner_since(
+    pub(crate) fn owner_with_protocol(
         &self,
         protocol: u32,
         owners: Owners<'_>,
@@ -287,7 +288,7 @@
         let view = self.view();
         let candidates = match owners {
             Owners::Any => &view.owners[..],
-            Owners::Of(region) => view.regions.get(region).map_or(&[][..], |it| it.as_slice()),
+            Owners::Region(region) => view.regions.get(region).map_or(&[][..], |it| it.as_slice()),
         };
         let candidates = candidates.iter().filter(|it| protocol <= it.protocol);
         candidates.max_by_key(|it| (weight(key, &it.name), &it.name))?.address.clone()
@@ -308,17 +309,17 @@
     }
 
     /// Whether this instance is draining.
-    pub(crate) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
     /// Whether a region has a responsive instance.
-    pub(crate) fn has_live_in(&self, region: &str) -> bool {
+    pub(crate) fn has_responsive_in(&self, region: &str) -> bool {
         self.view().regions.contains_key(region)
     }
 
     /// Number of instances in the region of this instance, including itself.
-    pub(crate) fn near_count(&self) -> usize {
+    pub(crate) fn own_region_count(&self) -> usize {
         let known = self.known.lock();
         1 + known.values().filter(|it| self.topology.is_near(&it.domain)).count()
     }
@@ -341,20 +342,22 @@
     }
 
     /// Address of a peer by name; `None` if it is unknown or unresponsive.
-    pub(crate) fn live_address(&self, name: &str) -> Option<String> {
+    pub(crate) fn responsive_address(&self, name: &str) -> Option<String> {
         let address = self.known.lock().get(name).map(|it| it.address.clone())?;
         (!self.links.is_suspect(&address)).then_some(address)
     }
 
     /// Whether this is the known incarnation of a peer and responsive.
-    pub(crate) fn is_life(&self, name: &str, life: &str) -> bool {
+    pub(crate) fn is_responsive_incarnation(&self, name: &str, life: &str) -> bool {
         let known = self.known.lock();
-        known.get(name).is_some_and(|it| it.life == life && !self.links.is_suspect(&it.address))
+        known
+            .get(name)
+            .is_some_and(|it| it.incarnation == life && !self.links.is_suspect(&it.address))
     }
 
     /// Opens a connection to a peer, or uses the one that is open. Its health checks exchange the versions of
     /// the configuration.
-    pub(crate) async fn watch(&self, shared: &Arc<IngressShared>, address: &str) {
+    pub(crate) async fn connect(&self, shared: &Arc<IngressShared>, address: &str) {
         // The links mark an unreachable peer as suspect.
         drop(self.links.get(shared, address).await);
     }
--- a/crates/holdpointd/src/ingress/peers/calls.rs
+++ b/crates/holdpointd/src/ingress/peers/calls.rs
@@ -9,19 +9,19 @@
     quarantine::Verdict,
     spill::Lease,
     stage_graph::NoResult,
-    target_limits::{LimitNews, Slot},
+    target_limits::{LimitUpdate, Slot},
 };
 use holdpoint_platform::Instant;
 use tarpc::{client::RpcError, context::Context};
 
-use super::{PLACE_LIMIT, Peers};
+use super::{Peers, TARGET_CHOICE_TIMEOUT};
 use crate::ingress::{
-    departures::{self, Departure},
+    departures::{self, DrainNotice},
     limits::Assignment,
     links::{PeerSilent, context_for},
-    news::{Known, Update},
-    peer_service::{DRAIN_PROTOCOL, IngressPeersClient, LENDING_PROTOCOL, PromptAsk},
-    piece_ask::{PieceAsk, PieceResult},
+    news::{FollowRequest, Update},
+    peer_service::{DRAIN_PROTOCOL, IngressPeersClient, LENDING_PROTOCOL, PromptRequest},
+    piece_ask::{ItemRequest, ItemResult},
     quarantine::RunReport,
     regions::owner_of,
     rollouts::{DriverAnswer, RolloutReport},
@@ -46,9 +46,9 @@
         shared: &Arc<IngressShared>,
         address: &str,
         service: &str,
-        asks: Vec<PieceAsk>,
+        asks: Vec<ItemRequest>,
         limit: Duration,
-    ) -> Result<Vec<PieceResult>, PeerSilent> {
+    ) -> Result<Vec<ItemResult>, PeerSilent> {
         let link = self.links.get(shared, address).await?;
         let call = async {
             let (context, service) = (context_for(limit), service.to_owned());
@@ -67,7 +67,7 @@
             Ok(Ok(it)) => Ok(it),
             Ok(Err(RpcError::DeadlineExceeded)) | Err(_) => Ok(Vec::new()),
             Ok(Err(_)) => {
-                self.links.lose(shared, address, &link.lost, "broken");
+                self.links.mark_silent(shared, address, &link.lost, "broken");
                 Err(PeerSilent)
             }
         }
@@ -79,7 +79,7 @@
         shared: &Arc<IngressShared>,
         address: &str,
         service: &str,
-        prompt: PromptAsk,
+        prompt: PromptRequest,
         limit: Duration,
     ) -> Option<TargetId> {
         let call = async {
@@ -96,7 +96,7 @@
         shared: &Arc<IngressShared>,
         address: &str,
         service: &str,
-        (prompt, patience_ms): (PromptAsk, Millis),
+        (prompt, patience_ms): (PromptRequest, Millis),
         limit: Duration,
     ) -> Option<Assignment> {
         let call = async {
@@ -114,9 +114,9 @@
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
-        known: LimitNews,
+        known: LimitUpdate,
     ) -> Option<Slot> {
-        let limit = self.links.with_distance(address, PLACE_LIMIT);
+        let limit = self.links.with_round_trips(address, TARGET_CHOICE_TIMEOUT);
         let call = async {
             let link = self.links.get(shared, address).await.ok()?;
             link.client.take_slot(context_for(limit), known).await.ok()
@@ -125,11 +125,11 @@
     }
 
     /// Sends a peer the rate limits that targets have reported.
-    pub(crate) async fn hear_limits(
+    pub(crate) async fn send_limits(
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
-        limits: Vec<LimitNews>,
+        limits: Vec<LimitUpdate>,
     ) -> Result<(), PeerSilent> {
         let call =
             async |client: &IngressPeersClient, context| client.hear_limits(context, limits).await;
@@ -141,10 +141,10 @@
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
-        notices: Vec<Departure>,
-    ) -> Result<Vec<Departure>, PeerSilent> {
+        notices: Vec<DrainNotice>,
+    ) -> Result<Vec<DrainNotice>, PeerSilent> {
         let link = self.links.get(shared, address).await?;
-        let limit = self.links.with_distance(address, NOTIFY_TIMEOUT);
+        let limit = self.links.with_round_trips(address, NOTIFY_TIMEOUT);
         let sent = link.client.tell_departures(context_for(limit), notices);
         let sent = tokio::time::timeout(limit, sent).await;
         sent.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)
@@ -217,7 +217,7 @@
     }
 
     /// Sends quarantine verdicts to a peer.
-    pub(crate) async fn tell_verdicts(
+    pub(crate) async fn send_verdicts(
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
@@ -230,7 +230,7 @@
     }
 
     /// Has a peer release results.
-    pub(crate) async fn give_up(
+    pub(crate) async fn release_results(
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
@@ -253,7 +253,7 @@
         call: impl AsyncFnOnce(&IngressPeersClient, Context) -> Result<(), RpcError>,
     ) -> Result<(), PeerSilent> {
         let link = self.links.get(shared, address).await?;
-        let limit = self.links.with_distance(address, limit);
+        let limit = self.links.with_round_trips(address, limit);
         let sent = tokio::time::timeout(limit, call(&link.client, context_for(limit))).await;
         sent.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)
     }
@@ -263,12 +263,12 @@
         &self,
         shared: &Arc<IngressShared>,
         address: &str,
-        known: Known,
+        known: FollowRequest,
         limit: Duration,
     ) -> Result<Update, PeerSilent> {
         let link = self.links.get(shared, address).await?;
         let _large = (LARGE_RESPONSE_LIMIT <= limit).then(|| link.expect_large());
-        let limit = self.links.with_distance(address, limit);
+        let limit = self.links.with_round_trips(address, limit);
         let call = tokio::time::timeout(limit, link.client.follow(context_for(limit), known));
         tokio::select! {
             it = call => it.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent),
@@ -279,14 +279,14 @@
 
 /// Has work items processed by the instance that batches them in a region, or by this instance if none can be
 /// reached. Items without a result from a peer in time get [`NoResult::Late`].
-pub(crate) async fn make_anywhere(
+pub(crate) async fn process_anywhere(
     shared: &Arc<IngressShared>,
     region: &str,
     service: &str,
-    asks: Vec<PieceAsk>,
+    asks: Vec<ItemRequest>,
     within: &Within,
     limit: Duration,
-) -> Vec<PieceResult> {
+) -> Vec<ItemResult> {
     let count = asks.len();
     let until = Instant::now() + limit;
     while let Some(address) = owner_of(shared, region, service, within) {
@@ -300,5 +300,5 @@
         results.resize(count, Err(NoResult::Late));
         return results;
     }
-    shared.batches.make(shared, service, asks).await
+    shared.batches.process(shared, service, asks).await
 }
--- a/crates/holdpointd/src/ingress/peers/view.rs
+++ b/crates/holdpointd/src/ingress/peers/view.rs
@@ -87,7 +87,7 @@
     fn build_view(&self) -> View {
         let known = self.known.lock();
         let own = self.own_name.as_str();
-        let (is_split, own_region) = (self.topology.is_split(), self.topology.own_region());
+        let (is_split, own_region) = (self.topology.has_regions(), self.topology.own_region());
         let region_of = |domain: &str| self.topology.region_of(domain).unwrap_or_default();
         let in_split = |region| if is_split { region } else { Default::default() };
         let member = |name| match known.get(name) {
@@ -116,9 +116,9 @@
         let sources = Sources {
             is_reader: plan.role == Role::Reader,
             is_relay: plan.role == Role::Relay,
-            asked: addresses(&plan.asked),
+            followed: addresses(&plan.upstreams),
             readers: addresses(&plan.readers),
-            patience: Duration::from_millis(plan.patience_ms),
+            read_delay: Duration::from_millis(plan.read_delay_ms),
         };
         let owners = |is_member: &dyn Fn(&str) -> bool| -> Vec<Owner> {
             let chosen = members.iter().filter(|it| is_member(it.name));
@@ -160,18 +160,18 @@
     /// Number of instances by failure domain, as received at the start; empty once the list of peers is
     /// complete.
     pub(super) fn reported_sizes(&self) -> DomainSizes {
-        if self.were_read() { DomainSizes::new() } else { self.reported_sizes.lock().clone() }
+        if self.is_complete() { DomainSizes::new() } else { self.reported_sizes.lock().clone() }
     }
 
     /// Sets the number of instances by failure domain, before all of them are known.
-    pub(crate) fn tell_sizes(&self, sizes: DomainSizes) {
+    pub(crate) fn set_reported_sizes(&self, sizes: DomainSizes) {
         *self.reported_sizes.lock() = sizes;
         self.revision.fetch_add(1, Ordering::AcqRel);
     }
 
     /// Whether the leaders are known, which this instance needs to choose its sources.
     pub(crate) fn knows_leaders(&self) -> bool {
-        self.were_read() || !self.reported_sizes.lock().is_empty()
+        self.is_complete() || !self.reported_sizes.lock().is_empty()
     }
 
     /// The leaders among all instances and the number of instances by failure domain, for a starting instance.
--- a/crates/holdpointd/src/ingress/piece_ask.rs
+++ b/crates/holdpointd/src/ingress/piece_ask.rs
@@ -3,17 +3,17 @@
 use holdpoint_core::{
     confinement::Confinement,
     ids::{Millis, Name},
-    promises::StageAhead,
+    promises::LaterStage,
     quarantine::Fingerprint,
-    stage_graph::{NoResult, PieceWork},
+    stage_graph::{NoResult, WorkItem},
 };
 use serde::{Deserialize, Serialize};
 
 /// A request for one work item. Times are durations, since the clocks of instances differ.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct PieceAsk {
+pub(crate) struct ItemRequest {
     /// The work item.
-    pub(crate) work: PieceWork,
+    pub(crate) work: WorkItem,
     /// Route of its request; empty if sent by a peer of an earlier version.
     #[serde(default)]
     pub(crate) route: Name,
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct LaterStages {
     /// Stages that follow.
-    pub(crate) stages: Vec<StageAhead>,
+    pub(crate) stages: Vec<LaterStage>,
     /// Milliseconds until the last stage's results are due to meet the latency objective; negative if this has
     /// passed.
     pub(crate) end_in_ms: i64,
@@ -75,4 +75,4 @@
 }
 
 /// Handle of a result, or why there is none.
-pub(crate) type PieceResult = Result<String, NoResult>;
+pub(crate) type ItemResult = Result<String, NoResult>;
--- a/crates/holdpointd/src/ingress/pools.rs
+++ b/crates/holdpointd/src/ingress/pools.rs
@@ -16,8 +16,8 @@
     evacuation::Evacuations,
     ids::{Millis, Name},
     ingress::Configuration,
-    returns::Returns,
-    route::{Call, Choice, End, Load, Member, NoTarget, Router},
+    returns::RetryTimes,
+    route::{Call, CallOutcome, Choice, Load, Member, NoTarget, Router},
     topology::Topology,
 };
 use holdpoint_schema::{
@@ -26,7 +26,7 @@
 };
 use parking_lot::{Mutex, RwLock};
 
-use crate::ingress::{regions::FAR_REGION_MS, shared::IngressShared};
+use crate::ingress::{regions::REGION_RTT_MS, shared::IngressShared};
 
 /// Consecutive failures that eject a target.
 const EJECT_FAILURES: u32 = 2;
@@ -54,7 +54,7 @@
     /// Time of a stage of the service, as recently reported by the instance that batches for it.
     stage_time: Mutex<RecentTime>,
     /// Schedule of retry times of requests refused because of its targets' rate limits.
-    returns: Mutex<Returns>,
+    returns: Mutex<RetryTimes>,
     /// Time until which the instance that places prompts for the service refuses them because its targets' rate
     /// limits are used up, in milliseconds.
     refused_until: AtomicU64,
@@ -90,8 +90,8 @@
     Member {
         address: target.id.clone(),
         domain: target.domain.clone(),
-        leaving: target.is_leaving,
-        held: is_evacuated,
+        is_draining: target.is_draining,
+        is_evacuated: is_evacuated,
     }
 }
 
@@ -210,8 +210,8 @@
 
     /// Share of a cold target's rate that a decision of this instance may use; `decides` is whether it places
     /// all prompts of the service.
-    pub(crate) fn share(&self, decides: bool) -> Share {
-        if decides { Share::Whole } else { Share::Of(self.instances.load(Ordering::Acquire)) }
+    pub(crate) fn cold_share(&self, decides: bool) -> Share {
+        if decides { Share::Whole } else { Share::OneOf(self.instances.load(Ordering::Acquire)) }
     }
 
     /// Returns the pool of a service, creating it if there is none.
@@ -245,7 +245,7 @@
             retry_percent: 0,
         };
         let router = Router::new(salt, domain, policy.clone())
-            .with_topology(topology.clone(), FAR_REGION_MS as f64);
+            .with_topology(topology.clone(), REGION_RTT_MS as f64);
         Pool {
             service: service.to_owned(),
             router: Mutex::new(router),
@@ -270,7 +270,7 @@
     ) -> Result<Choice, NoTarget> {
         let mut router = self.router.lock();
         shared.limits.allowances(shared, &self.service, |it| {
-            router.close_until(it.target, it.closed_until);
+            router.limit_until(it.target, it.closed_until);
         });
         for (id, until) in shared.backoffs.lock().of_service(now, &self.service) {
             router.back_off_until(id, until);
@@ -279,16 +279,16 @@
     }
 
     /// Counts a call as placed at a target. Prompts of other instances are counted too.
-    pub(crate) fn placed(&self, now: Millis, target: &str, call: &Call<'_>) {
+    pub(crate) fn record_placed(&self, now: Millis, target: &str, call: &Call<'_>) {
         let mut router = self.router.lock();
-        router.placed(now, target, call);
+        router.record_placed(now, target, call);
         router.spend_cold(now, target, call.share);
     }
 
     /// Retry-After of a refused request, in milliseconds: its targets accept `per_s` requests per second and
     /// the next one in `soonest` milliseconds, and refused requests are spread accordingly.
     pub(crate) fn return_ms(&self, now: Millis, soonest: Millis, per_s: f64) -> Millis {
-        self.returns.lock().take(now, soonest, 1000.0 / per_s.max(MIN_RETRIES_PER_S))
+        self.returns.lock().next_delay_ms(now, soonest, 1000.0 / per_s.max(MIN_RETRIES_PER_S))
     }
 
     /// Records that the instance that places prompts for the service refuses them for `ms` milliseconds.
@@ -307,18 +307,18 @@
     }
 
     /// Counts a call as sent.
-    pub(crate) fn sent(&self, now: Millis, target: &str, call: &Call<'_>) {
+    pub(crate) fn record_sent(&self, now: Millis, target: &str, call: &Call<'_>) {
         self.router.lock().sent(now, target, call);
     }
 
     /// Counts a call as ended.
-    pub(crate) fn ended(&self, now: Millis, target: &str, work: f64, end: End) {
+    pub(crate) fn record_end(&self, now: Millis, target: &str, work: f64, end: CallOutcome) {
         self.router.lock().ended(now, target, work, end);
     }
 
     /// Records a load that a target reported.
-    pub(crate) fn report(&self, now: Millis, target: &str, load: Load) {
-        self.router.lock().report(now, target, load);
+    pub(crate) fn record_load(&self, now: Millis, target: &str, load: Load) {
+        self.router.lock().apply_report(now, target, load);
     }
 
     /// Whether a target has reported work so slow that a missing response does not count as its failure.
@@ -332,7 +332,7 @@
     }
 
     /// Records the time of a stage as reported by the instance that batches for it, in milliseconds.
-    pub(crate) fn stage_takes(&self, now: Millis, ms: Millis) {
+    pub(crate) fn record_stage_time(&self, now: Millis, ms: Millis) {
         self.stage_time.lock().record(now, ms);
     }
 
@@ -357,7 +357,7 @@
     }
 
     /// Returns the last resend to the retry budget.
-    pub(crate) fn take_back(&self) {
-        self.budget.lock().take_back();
+    pub(crate) fn refund(&self) {
+        self.budget.lock().refund();
     }
 }
--- a/crates/holdpointd/src/ingress/quarantine.rs
+++ b/crates/holdpointd/src/ingress/quarantine.rs
@@ -18,7 +18,10 @@
     directory::TargetInstance,
     era::LOST_TAIL_MS,
     ids::{Millis, Name},
-    quarantine::{EndedRun, Fingerprint, HOLD_MS, KEY_PREFIX, Life, Passed, Quarantine, Verdict},
+    quarantine::{
+        CrashedRun, Fingerprint, Incarnation, KEY_PREFIX, QUARANTINE_MS, Quarantine, SuccessEffect,
+        Verdict,
+    },
 };
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -30,7 +33,7 @@
 use crate::{
     events::{self, emit},
     ingress::{
-        answer::Answer, connections::Reach, context::Context, peer_service::QUARANTINES,
+        answer::Answer, connections::Reach, context::Context, peer_service::QUARANTINE_PROTOCOL,
         peers::Owners, shared::IngressShared, store::StoreClient,
     },
 };
@@ -54,7 +57,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum RunReport {
     /// The target has crashed.
-    Ended(EndedRun),
+    Ended(CrashedRun),
     /// A suspect request was completed at a service.
     Passed(Fingerprint, Name),
 }
@@ -81,7 +84,7 @@
     /// Quarantined requests in the store, by key.
     stored: Mutex<BTreeMap<String, Bytes>>,
     /// Runs whose connection broke, by incarnation of the target, which may have crashed.
-    broken_runs: Mutex<HashMap<Life, (TargetInstance, Vec<EndedRun>)>>,
+    broken_runs: Mutex<HashMap<Incarnation, (TargetInstance, Vec<CrashedRun>)>>,
     reports: Mutex<Vec<RunReport>>,
     /// Requests whose release is still to be sent to the other instances.
     released: Mutex<Vec<Fingerprint>>,
@@ -112,9 +115,10 @@
 
 impl Quarantines {
     /// Records that the connection to a target broke while the target ran a request.
-    pub(crate) fn broke_off(&self, fingerprint: Fingerprint, target: &TargetInstance) {
-        let life = Life { target: target.id.clone(), born: target.born.unwrap_or(0) };
-        let run = EndedRun { fingerprint, service: target.service.clone(), life: life.clone() };
+    pub(crate) fn connection_broken(&self, fingerprint: Fingerprint, target: &TargetInstance) {
+        let life = Incarnation { target: target.id.clone(), born: target.born.unwrap_or(0) };
+        let run =
+            CrashedRun { fingerprint, service: target.service.clone(), incarnation: life.clone() };
         let mut broken_runs = self.broken_runs.lock();
         broken_runs.entry(life).or_insert_with(|| (target.clone(), Vec::new())).1.push(run);
         drop(broken_runs);
@@ -122,9 +126,9 @@
     }
 
     /// Records that a target has crashed while it ran these requests.
-    fn target_crashed(&self, now: Millis, runs: Vec<EndedRun>) {
+    fn target_crashed(&self, now: Millis, runs: Vec<CrashedRun>) {
         for run in runs {
-            if self.state.lock().ended(now, run.clone()) {
+            if self.state.lock().record_crash(now, run.clone()) {
                 self.report(RunReport::Ended(run));
             }
         }
@@ -132,16 +136,20 @@
 
     /// Records that a service has completed a request. The fingerprint is computed only if some request is
     /// suspect.
-    pub(crate) fn passed(&self, service: &str, fingerprint: impl FnOnce() -> Fingerprint) {
+    pub(crate) fn request_completed(
+        &self,
+        service: &str,
+        fingerprint: impl FnOnce() -> Fingerprint,
+    ) {
         let mut state = self.state.lock();
         if state.is_empty() {
             return;
         }
         let fingerprint = fingerprint();
-        match state.passed(fingerprint, service) {
-            Passed::Nothing => return,
-            Passed::News => (),
-            Passed::Released => self.released.lock().push(fingerprint),
+        match state.record_success(fingerprint, service) {
+            SuccessEffect::Nothing => return,
+            SuccessEffect::Report => (),
+            SuccessEffect::Released => self.released.lock().push(fingerprint),
         }
         self.report(RunReport::Passed(fingerprint, service.to_owned()));
     }
@@ -161,7 +169,7 @@
         if state.is_empty() {
             return None;
         }
-        state.held_ms(now, fingerprint())
+        state.remaining_ms(now, fingerprint())
     }
 
     /// Whether a request's work items must not share a call with those of other requests.
@@ -214,7 +222,7 @@
 
 /// Treats requests as suspect if their target has crashed. A target that is still reachable has only broken
 /// a connection.
-async fn check_target(shared: Arc<IngressShared>, target: TargetInstance, runs: Vec<EndedRun>) {
+async fn check_target(shared: Arc<IngressShared>, target: TargetInstance, runs: Vec<CrashedRun>) {
     let reach = shared.connections.reach(&target).await;
     let detail = format!(
         "target={} born={} runs={} reach={reach:?} first={}",
@@ -223,7 +231,7 @@
         runs.len(),
         runs.first().map_or(String::new(), |it| it.fingerprint.to_string())
     );
-    emit(events::TARGET_LOOKED_FOR, &shared.settings.instance, &detail);
+    emit(events::TARGET_PROBED, &shared.settings.instance, &detail);
     if reach == Reach::None {
         shared.quarantines.target_crashed(shared.clock.now(), runs);
     }
@@ -244,10 +252,10 @@
         if previous != Some(Some(address.clone())) {
             let state = shared.quarantines.state.lock();
             outgoing.extend(
-                state.ends_at(&service).take(MAX_RESENT_CRASHES).cloned().map(RunReport::Ended),
+                state.crashes_at(&service).take(MAX_RESENT_CRASHES).cloned().map(RunReport::Ended),
             );
         }
-        if shared.peers.protocol_of(&address) < QUARANTINES {
+        if shared.peers.protocol_of(&address) < QUARANTINE_PROTOCOL {
             return;
         }
         if shared.peers.report_runs(&shared, &address, outgoing).await.is_ok() {
@@ -262,11 +270,11 @@
 /// Removes expired entries here and in the store, and sends the known crashes to new judges.
 fn review(shared: &Arc<IngressShared>) {
     let quarantines = &shared.quarantines;
-    quarantines.state.lock().forget(shared.clock.now());
+    quarantines.state.lock().remove_expired(shared.clock.now());
     let services: Vec<Name> = quarantines.judges.lock().keys().cloned().collect();
     for service in services {
         let is_same = quarantines.judges.lock().get(&service) == Some(&judge_of(shared, &service));
-        if !is_same && quarantines.state.lock().ends_at(&service).next().is_some() {
+        if !is_same && quarantines.state.lock().crashes_at(&service).next().is_some() {
             tokio::spawn(report_to_judge(shared.clone(), service, Vec::new()));
         }
     }
@@ -285,15 +293,15 @@
 }
 
 /// Applies the reports of another instance, as their judge.
-pub(crate) fn take_reports(shared: &Arc<IngressShared>, reports: Vec<RunReport>) {
+pub(crate) fn apply_reports(shared: &Arc<IngressShared>, reports: Vec<RunReport>) {
     let now = shared.clock.now();
     let mut released = Vec::new();
     let mut state = shared.quarantines.state.lock();
     for it in reports {
         match it {
-            RunReport::Ended(it) => drop(state.ended(now, it)),
+            RunReport::Ended(it) => drop(state.record_crash(now, it)),
             RunReport::Passed(it, service) => {
-                if state.passed(it, &service) == Passed::Released {
+                if state.record_success(it, &service) == SuccessEffect::Released {
                     released.push(Verdict::Release(it));
                 }
             }
@@ -305,10 +313,10 @@
 }
 
 /// Applies the verdicts of another instance or of the store.
-pub(crate) fn take_verdicts(shared: &IngressShared, verdicts: Vec<Verdict>, source: &str) {
+pub(crate) fn apply_verdicts(shared: &IngressShared, verdicts: Vec<Verdict>, source: &str) {
     let now = shared.clock.now();
     for it in verdicts {
-        if shared.quarantines.state.lock().told(now, it) {
+        if shared.quarantines.state.lock().apply_verdict(now, it) {
             log_verdict(shared, it, source);
         }
     }
@@ -351,12 +359,13 @@
     }
     let shared = shared.clone();
     tokio::spawn(async move {
-        let peers = shared.peers.all().into_iter().filter(|it| QUARANTINES <= it.1.protocol);
+        let peers =
+            shared.peers.all().into_iter().filter(|it| QUARANTINE_PROTOCOL <= it.1.protocol);
         let peers: Vec<String> = peers.map(|it| it.1.address).collect();
         let send = |address: String| {
             let (shared, verdicts) = (&shared, verdicts.clone());
             // An instance that cannot be reached reads the store.
-            async move { shared.peers.tell_verdicts(shared, &address, verdicts).await }
+            async move { shared.peers.send_verdicts(shared, &address, verdicts).await }
         };
         peers.into_iter().map(send).collect::<FuturesUnordered<_>>().count().await;
     });
@@ -366,7 +375,8 @@
 /// Requests released since then are no longer in the local list.
 pub(crate) fn store_returned(shared: &Arc<IngressShared>) {
     for (key, value) in shared.quarantines.stored() {
-        let quarantined_at = parse_stored(&value).map_or(0, |it| it.until.saturating_sub(HOLD_MS));
+        let quarantined_at =
+            parse_stored(&value).map_or(0, |it| it.until.saturating_sub(QUARANTINE_MS));
         let is_lost = unix_ms() < quarantined_at + LOST_TAIL_MS;
         if is_lost && judge_of(shared, "").is_none() {
             tokio::spawn(write(shared.clone(), key, Some(value)));
@@ -378,11 +388,11 @@
 async fn write(shared: Arc<IngressShared>, key: String, value: Option<Bytes>) {
     let store = &shared.settings.store;
     let timeout = Duration::from_millis(store.timeout_ms);
-    let mut client = StoreClient::new(&store.address, timeout, shared.eras.clone());
+    let mut client = StoreClient::new(&store.address, timeout, shared.epochs.clone());
     let started_at = shared.clock.now();
     let bytes = value.unwrap_or_default();
     while client.append(RESOURCES_TOPIC, &key, &bytes).await.is_err() {
-        if started_at + HOLD_MS < shared.clock.now() {
+        if started_at + QUARANTINE_MS < shared.clock.now() {
             return;
         }
         sleep(RETRY_PAUSE * 4).await;
@@ -405,7 +415,11 @@
 
 /// Applies an entry of the store. Returns `None` if the key is not that of a quarantined request, else
 /// whether the entry has changed.
-pub(crate) fn set_stored(shared: &IngressShared, key: &str, value: Option<Bytes>) -> Option<bool> {
+pub(crate) fn apply_stored(
+    shared: &IngressShared,
+    key: &str,
+    value: Option<Bytes>,
+) -> Option<bool> {
     let fingerprint: Fingerprint = key.strip_prefix(KEY_PREFIX)?.parse().ok()?;
     let mut stored = shared.quarantines.stored.lock();
     if stored.get(key) == value.as_ref() {
@@ -423,44 +437,44 @@
         None => drop(stored.remove(key)),
     }
     drop(stored);
-    take_verdicts(shared, verdict.into_iter().collect(), "store");
+    apply_verdicts(shared, verdict.into_iter().collect(), "store");
     Some(true)
 }
 
 impl Context {
     /// Records that the connection to a target broke while the target ran the request.
-    pub(crate) fn broke_off(&self, target: &TargetInstance) {
-        self.shared.quarantines.broke_off(self.fingerprint(), target);
+    pub(crate) fn connection_broken(&self, target: &TargetInstance) {
+        self.shared.quarantines.connection_broken(self.fingerprint(), target);
     }
 
     /// Records that the request was completed.
-    pub(crate) fn has_passed(&self) {
-        self.shared.quarantines.passed(&self.service, || self.fingerprint());
+    pub(crate) fn request_completed(&self) {
+        self.shared.quarantines.request_completed(&self.service, || self.fingerprint());
     }
 
     /// Remaining quarantine of the request; `None` if it is not quarantined.
-    pub(crate) fn held_for(&self) -> Option<Duration> {
+    pub(crate) fn quarantine_left(&self) -> Option<Duration> {
         let left = self.shared.quarantines.left_ms(self.shared.clock.now(), || self.fingerprint());
         left.map(Duration::from_millis)
     }
 
     /// Waits until the request is quarantined.
-    pub(crate) async fn is_held(&self) {
+    pub(crate) async fn wait_quarantined(&self) {
         let mut quarantine_added = self.shared.quarantines.quarantine_added.subscribe();
         // The sender lives as long as the instance.
-        while self.held_for().is_none() && quarantine_added.changed().await.is_ok() {}
+        while self.quarantine_left().is_none() && quarantine_added.changed().await.is_ok() {}
     }
 
     /// Refuses the request if it is quarantined.
-    pub(crate) fn refuse_held(&self) -> Option<Answer> {
-        let left = self.held_for()?;
+    pub(crate) fn refuse_quarantined(&self) -> Option<Answer> {
+        let left = self.quarantine_left()?;
         let detail = format!(
             "id={} fingerprint={} left_ms={}",
             self.request.id,
             self.fingerprint(),
             left.as_millis()
         );
-        emit(events::REFUSED_HELD, &self.shared.settings.instance, &detail);
-        Some(self.give_up("quarantined", left))
+        emit(events::REFUSED_QUARANTINED, &self.shared.settings.instance, &detail);
+        Some(self.final_answer("quarantined", left))
     }
 }
--- a/crates/holdpointd/src/ingress/regions.rs
+++ b/crates/holdpointd/src/ingress/regions.rs
@@ -19,7 +19,7 @@
 use crate::ingress::{peers::Owners, shared::IngressShared, spill::Spill};
 
 /// Assumed round-trip time to another region, in milliseconds: that between regions of one continent.
-pub(crate) const FAR_REGION_MS: u64 = 60;
+pub(crate) const REGION_RTT_MS: u64 = 60;
 
 /// State of the regions at this instance.
 #[derive(Debug)]
@@ -43,11 +43,11 @@
         evacuations: &Evacuations,
         topology: &Topology,
     ) {
-        if !topology.is_split() {
+        if !topology.has_regions() {
             return;
         }
         let is_usable = |domain: &str| !evacuations.is_evacuated(domain);
-        let usable = directory.all().filter(|it| !it.is_leaving && is_usable(&it.domain));
+        let usable = directory.all().filter(|it| !it.is_draining && is_usable(&it.domain));
         let located =
             usable.filter_map(|it| Some((it.service.as_str(), topology.region_of(&it.domain)?)));
         self.targets.store(Arc::new(ServiceRegions::new(located)));
@@ -64,14 +64,14 @@
 /// The region that serves a request, within its bounds: the own region if it has targets of all services
 /// that the request needs, else another region that has them and a live instance. If there is none, the own
 /// region or, if that is outside the bounds, the first allowed one.
-pub(crate) fn home(
+pub(crate) fn home_region(
     shared: &IngressShared,
     route: &IngressRoute,
     service: &str,
     within: &Within,
 ) -> Name {
     let own = shared.topology.own_region();
-    if !shared.topology.is_split() {
+    if !shared.topology.has_regions() {
         return own.to_owned();
     }
     let is_own_allowed = is_allowed(within, own);
@@ -102,13 +102,13 @@
     let others = shared.topology.all().into_iter();
     let others = others.filter(|it| *it != shared.topology.own_region());
     let serves = |it: &&str| is_allowed(within, it) && shared.regions.serves(it, route, service);
-    others.filter(move |it| serves(it) && shared.peers.has_live_in(it)).map(str::to_owned)
+    others.filter(move |it| serves(it) && shared.peers.has_responsive_in(it)).map(str::to_owned)
 }
 
 /// The peer that does batching and placement for a service in a region; `None` if this instance does, also
 /// for lack of a peer.
 pub(crate) fn batcher_of(shared: &IngressShared, region: &str, service: &str) -> Option<String> {
-    let owners = if shared.topology.is_split() { Owners::Of(region) } else { Owners::Any };
+    let owners = if shared.topology.has_regions() { Owners::Region(region) } else { Owners::Any };
     shared.peers.batcher_of(owners, service)
 }
 
@@ -132,9 +132,9 @@
 
 /// The region whose batcher tracks a result: that of the target at address `maker`, which produced it; the
 /// own region if the target is not known.
-pub(crate) fn keeper_region(shared: &IngressShared, maker: Option<&str>) -> Name {
+pub(crate) fn owner_region(shared: &IngressShared, maker: Option<&str>) -> Name {
     let own = || shared.topology.own_region().to_owned();
-    if !shared.topology.is_split() {
+    if !shared.topology.has_regions() {
         return own();
     }
     let domain = maker.and_then(|it| shared.target_at(it)).map(|it| it.domain);
@@ -143,7 +143,7 @@
 }
 
 /// Timeout of a call to a peer that works for a region; `near` is that of a call within the own region.
-pub(crate) fn limit_for(shared: &IngressShared, region: &str, near: Duration) -> Duration {
-    let is_own = !shared.topology.is_split() || region == shared.topology.own_region();
-    if is_own { near } else { near + Duration::from_millis(FAR_REGION_MS) }
+pub(crate) fn call_timeout(shared: &IngressShared, region: &str, near: Duration) -> Duration {
+    let is_own = !shared.topology.has_regions() || region == shared.topology.own_region();
+    if is_own { near } else { near + Duration::from_millis(REGION_RTT_MS) }
 }
--- a/crates/holdpointd/src/ingress/releases.rs
+++ b/crates/holdpointd/src/ingress/releases.rs
@@ -13,8 +13,8 @@
 use crate::ingress::{
     gate::Payload,
     limits,
-    regions::{batcher_of, keeper_region},
-    send::{OwnCall, own_call},
+    regions::{batcher_of, owner_region},
+    send::{InternalCall, internal_call},
     shared::IngressShared,
 };
 
@@ -63,7 +63,7 @@
 fn by_region(shared: &IngressShared, handles: Vec<String>) -> HashMap<Name, Vec<String>> {
     let mut by_region: HashMap<Name, Vec<String>> = HashMap::new();
     for handle in handles {
-        let region = keeper_region(shared, wire::maker(&handle));
+        let region = owner_region(shared, wire::producer(&handle));
         by_region.entry(region).or_default().push(handle);
     }
     by_region
@@ -71,22 +71,22 @@
 
 fn send_releases(shared: &Arc<IngressShared>, region: &str, service: Name, handles: Vec<String>) {
     let Some(address) = batcher_of(shared, region, &service) else {
-        return tell_makers(shared, &service, handles);
+        return notify_makers(shared, &service, handles);
     };
     let shared = shared.clone();
     tokio::spawn(async move {
-        let sending = shared.peers.give_up(&shared, &address, &service, handles.clone());
+        let sending = shared.peers.release_results(&shared, &address, &service, handles.clone());
         if sending.await.is_err() {
-            tell_makers(&shared, &service, handles);
+            notify_makers(&shared, &service, handles);
         }
     });
 }
 
 /// Asks the targets that store results to drop them, with one call to each target.
-pub(crate) fn tell_makers(shared: &Arc<IngressShared>, service: &str, handles: Vec<String>) {
+pub(crate) fn notify_makers(shared: &Arc<IngressShared>, service: &str, handles: Vec<String>) {
     let mut by_maker: HashMap<String, Vec<String>> = HashMap::new();
     for handle in handles {
-        if let Some(maker) = wire::maker(&handle).map(str::to_owned) {
+        if let Some(maker) = wire::producer(&handle).map(str::to_owned) {
             by_maker.entry(maker).or_default().push(handle);
         }
     }
@@ -106,12 +106,12 @@
         return;
     }
     // A result that was not released expires at its target by itself.
-    let Ok(permit) = limits::ask(&shared, &target).await else { return };
-    let body = wire::free_body(&handles);
-    let call = OwnCall { path: wire::FREE_PATH, body, payload: Payload::Release };
-    let outcome = own_call(&shared, (&target, permit), call, CALL_TIMEOUT).await;
+    let Ok(permit) = limits::acquire(&shared, &target).await else { return };
+    let body = wire::release_body(&handles);
+    let call = InternalCall { path: wire::RELEASE_PATH, body, payload: Payload::Release };
+    let outcome = internal_call(&shared, (&target, permit), call, CALL_TIMEOUT).await;
     if outcome.is_ok_and(|it| it.0.is_success()) {
         shared.batches.record_released(&service, &handles);
-        crate::ingress::batches::pump(&shared, &service);
+        crate::ingress::batches::start_calls(&shared, &service);
     }
 }
--- a/crates/holdpointd/src/ingress/request.rs
+++ b/crates/holdpointd/src/ingress/request.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use holdpoint_adapter::headers::{self, CallerHead};
 use holdpoint_core::{
-    ingress::{Configuration, Denied, IngressRoute, Shape, Tenancy},
+    ingress::{Configuration, Denied, IngressRoute, ResponseKind, Tenancy},
     ledger::Ledger,
 };
 use holdpoint_platform::Instant;
@@ -29,7 +29,7 @@
         shared::IngressShared,
         stream, whole,
     },
-    shared::Working,
+    shared::InFlightGuard,
 };
 
 /// Retry-After of a request that the known configuration doesn't allow, while a newer one may exist.
@@ -43,13 +43,13 @@
     let working = shared.in_flight.start();
     let arrived = Instant::now();
     let mut answer = match admit(&shared, request, arrived, working).await {
-        Ok(it) => match it.route.shape {
-            Shape::Whole => whole::serve(it).await,
-            Shape::Events { .. } => stream::serve(it).await,
+        Ok(it) => match it.route.response {
+            ResponseKind::Whole => whole::serve(it).await,
+            ResponseKind::Events { .. } => stream::serve(it).await,
         },
         Err(it) => it,
     };
-    if shared.is_leaving.load(Ordering::Acquire) {
+    if shared.is_draining.load(Ordering::Acquire) {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(answer)
@@ -60,7 +60,7 @@
     shared: &Arc<IngressShared>,
     request: Request<Incoming>,
     arrived: Instant,
-    working: Working,
+    working: InFlightGuard,
 ) -> Result<Context, Answer> {
     let configuration = shared.configuration();
     let (parts, body) = request.into_parts();
@@ -80,7 +80,7 @@
     if !shared.has_started() {
         // After a restart of all instances, callers arrive before any instance is ready, and a refusal
         // would use up their retry as well.
-        shared.started().await;
+        shared.wait_until_started().await;
     }
     let configuration = shared.configuration();
     if configuration.version == 0 {
@@ -119,7 +119,7 @@
         head: head.clone(),
     };
     let ctx = Context::new(shared.clone(), parts);
-    ctx.refuse_held().or_else(|| ctx.refuse_confined()).map_or(Ok(ctx), Err)
+    ctx.refuse_quarantined().or_else(|| ctx.refuse_confined()).map_or(Ok(ctx), Err)
 }
 
 /// Finds the route of a request, and the organisation that its key belongs to.
@@ -150,7 +150,7 @@
         return Ok(Bytes::new());
     }
     let limit = Duration::from_millis(configuration.limits.head_ms);
-    let limit = head.patience.map_or(limit, |it| it.max(limit));
+    let limit = head.timeout.map_or(limit, |it| it.max(limit));
     let read = Limited::new(body, configuration.limits.body_bytes).collect();
     match tokio::time::timeout(limit, read).await {
         Ok(Ok(it)) => Ok(it.to_bytes()),
--- a/crates/holdpointd/src/ingress/rollouts.rs
+++ b/crates/holdpointd/src/ingress/rollouts.rs
@@ -20,13 +20,13 @@
 use holdpoint_core::{
     directory::{Directory, TargetId, TargetInstance},
     era::Position,
-    evacuation::{Evacuations, Horizon},
+    evacuation::{Evacuations, LogOffset},
     ids::{Millis, Name},
     rollout::{
-        Answer, Bound, Gate, Input, Lane, OrderRecord, Orders, Phase, ToldOrders, Word,
-        canary_targets,
+        Answer, Bound, DriverUpdate, Gate, InstanceReport, Lane, OrderRecord, Orders,
+        OrdersSnapshot, Phase, canary_targets,
     },
-    route::End,
+    route::CallOutcome,
     subset::weight,
 };
 use holdpoint_schema::ingress::IngressSettings;
@@ -34,7 +34,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::{sync::Notify, time::sleep};
 
-pub(crate) use self::running::Running;
+pub(crate) use self::running::InFlightSend;
 use self::{
     driver::Driven,
     record::{Record, Records},
@@ -42,7 +42,8 @@
 use crate::{
     events::{self, emit},
     ingress::{
-        batches::pump_all, context::Context, peers::Owners, shared::IngressShared, store::Eras,
+        batches::start_all_calls, context::Context, peers::Owners, shared::IngressShared,
+        store::StoreEpochs,
     },
     metrics::label,
 };
@@ -58,21 +59,21 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct RolloutReport {
     /// Offset of the order.
-    offset: Horizon,
+    offset: LogOffset,
     /// Name of the instance, and its incarnation.
     instance: Name,
     life: u64,
     /// Time left until the deadline of the order as the instance knows it, in milliseconds.
     left_ms: Millis,
     /// Its counts since it saw the order.
-    input: Input,
+    input: InstanceReport,
 }
 
 /// Answer of an instance that was asked as the driver.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum DriverAnswer {
     /// The instance drives the roll-out; its update.
-    Word(Word),
+    Word(DriverUpdate),
     /// Another instance, of this name, drives it.
     Other(Name),
     /// The driver is not known here, or its record could not be confirmed.
@@ -120,7 +121,7 @@
 
 impl Rollouts {
     /// Creates the state without roll-outs.
-    pub(crate) fn new(settings: &IngressSettings, eras: Arc<Eras>) -> Rollouts {
+    pub(crate) fn new(settings: &IngressSettings, eras: Arc<StoreEpochs>) -> Rollouts {
         let limits = &settings.rollouts;
         Rollouts {
             bound: Bound { share: limits.share, slack: limits.slack },
@@ -140,8 +141,8 @@
     }
 
     /// Snapshot of the orders for a peer.
-    pub(crate) fn told(&self, now: Millis) -> ToldOrders {
-        self.orders.lock().told(now)
+    pub(crate) fn snapshot(&self, now: Millis) -> OrdersSnapshot {
+        self.orders.lock().snapshot(now)
     }
 
     /// Phase of a service's roll-out; `None` if there is none or the driver's update has expired.
@@ -195,7 +196,7 @@
     }
 
     /// Targets that a request in a lane must not be sent to.
-    pub(crate) fn closed(&self, now: Millis, service: &str, lane: Lane) -> Vec<TargetId> {
+    pub(crate) fn excluded_targets(&self, now: Millis, service: &str, lane: Lane) -> Vec<TargetId> {
         let local = self.local.lock();
         let Some(it) = local.get(service) else { return Vec::new() };
         let phase = it.gate.phase(now);
@@ -209,13 +210,13 @@
     }
 
     /// Lane of a call with this many work items; `None` if the service has no roll-out.
-    pub(crate) fn piece_lane(&self, now: Millis, service: &str, items: u64) -> Option<Lane> {
+    pub(crate) fn item_lane(&self, now: Millis, service: &str, items: u64) -> Option<Lane> {
         if !self.is_active() {
             return None;
         }
         let mut local = self.local.lock();
         let it = local.get_mut(service)?;
-        it.gate.wants(items);
+        it.gate.set_needed_permits(items);
         let is_completed = it.gate.phase(now) == Some(Phase::Completed);
         // Before completion, an item need not wait for a busy new target while an old one is idle.
         let or_any = |lane| if lane == Lane::New && !is_completed { Lane::Any } else { lane };
@@ -223,35 +224,35 @@
     }
 
     /// Counts work items as sent to a target.
-    pub(crate) fn pieces_sent(&self, service: &str, target: &str, count: u64) {
+    pub(crate) fn items_sent(&self, service: &str, target: &str, count: u64) {
         if !self.is_active() {
             return;
         }
         let mut local = self.local.lock();
         let Some(it) = local.get_mut(service) else { return };
-        it.gate.reached(count);
+        it.gate.count_reached(count);
         if it.targets.new.iter().any(|id| id == target) {
-            it.gate.exposed(count);
+            it.gate.count_exposed(count);
         }
     }
 
     /// Counts a target's answer for a work item.
-    pub(crate) fn piece_answered(&self, service: &str, target: &str, route: &str, answer: Answer) {
+    pub(crate) fn item_answered(&self, service: &str, target: &str, route: &str, answer: Answer) {
         if !self.is_active() {
             return;
         }
         let mut local = self.local.lock();
         let Some(it) = local.get_mut(service) else { return };
         let is_new = it.targets.new.iter().any(|id| id == target);
-        it.gate.answered(route, is_new, answer);
+        it.gate.record_answer(route, is_new, answer);
     }
 
     /// Counts the result of a request sent to a target.
-    pub(crate) fn answered(
+    pub(crate) fn send_ended(
         &self,
         ctx: &Context,
         target: &TargetInstance,
-        end: End,
+        end: CallOutcome,
         cause: &'static str,
     ) {
         if !self.is_active() {
@@ -263,19 +264,19 @@
         let Some(it) = local.get_mut(&target.service) else { return };
         it.unanswered.remove(&ctx.request.id);
         let answer = match (end, cause) {
-            (End::Whole(ms), _) => Answer::Good((!is_cold).then_some(ms)),
+            (CallOutcome::Completed(ms), _) => Answer::Good((!is_cold).then_some(ms)),
             (_, "target-failed" | "broken") => Answer::Failed,
-            (_, "silent") => Answer::Silent,
+            (_, "silent") => Answer::TimedOut,
             // A refused connection is not a bad answer.
             (_, "declined") => Answer::Refused,
             _ => return,
         };
         let is_new = target.version == it.gate.order().version;
-        it.gate.answered(&ctx.route.name, is_new, answer);
+        it.gate.record_answer(&ctx.route.name, is_new, answer);
         let name = match answer {
             Answer::Good(_) => "good",
             Answer::Failed => "failed",
-            Answer::Silent => "silent",
+            Answer::TimedOut => "silent",
             Answer::Refused => "refused",
         };
         let labels = [
@@ -321,7 +322,7 @@
     let mut open_new: Vec<TargetId> = Vec::new();
     for it in directory.of_service(service) {
         let is_new = it.version == version;
-        let is_open = !it.is_leaving && !evacuations.is_evacuated(&it.domain);
+        let is_open = !it.is_draining && !evacuations.is_evacuated(&it.domain);
         let ids = if is_new { &mut targets.new } else { &mut targets.old };
         ids.push(it.id.clone());
         let count = if is_new { &mut targets.open_counts.1 } else { &mut targets.open_counts.0 };
@@ -339,7 +340,7 @@
 
 /// Applies records that operators have written to the log of orders. Emits an event for a record that
 /// cannot be parsed.
-pub(crate) fn take_orders(
+pub(crate) fn apply_order_records(
     shared: &Arc<IngressShared>,
     records: &[KeyedRecord],
     next: Position,
@@ -362,11 +363,11 @@
     } else {
         shared.rollouts.orders.lock().followed_by(now, next.offset, &orders)
     };
-    take_over(shared, newer, "store");
+    merge_orders(shared, newer, "store");
 }
 
 /// Merges newer orders. From then on, their versions get only the requests that a driver permits.
-pub(crate) fn take_over(shared: &Arc<IngressShared>, newer: Orders, source: &str) {
+pub(crate) fn merge_orders(shared: &Arc<IngressShared>, newer: Orders, source: &str) {
     let rollouts = &shared.rollouts;
     let changed = rollouts.orders.lock().advance(shared.clock.now(), newer);
     if changed.is_empty() {
@@ -402,7 +403,7 @@
     rollouts.is_active.store(is_active, Ordering::Release);
     shared.apply_directory();
     rollouts.orders_changed.notify_one();
-    shared.has_news.send_replace(());
+    shared.updated.send_replace(());
 }
 
 /// Makes drivers check their records in the store after it has returned, and write lost ones again.
@@ -444,7 +445,7 @@
     }
     let has_opened = rollouts.local.lock().get(service).map(|it| it.gate.is_open(now));
     if has_opened != Some(is_open) {
-        pump_all(shared);
+        start_all_calls(shared);
     }
 }
 
@@ -452,9 +453,9 @@
     RolloutReport {
         offset: local.gate.order().offset,
         instance: shared.settings.instance.clone(),
-        life: shared.life,
+        life: shared.incarnation,
         left_ms: local.gate.order().until.saturating_sub(shared.clock.now()),
-        input: local.gate.input(),
+        input: local.gate.report(),
     }
 }
 
@@ -465,7 +466,7 @@
     report: RolloutReport,
 ) -> DriverAnswer {
     let named = shared.rollouts.local.lock().get(service).and_then(|it| it.driver.clone());
-    let named = named.and_then(|it| shared.peers.live_address(&it));
+    let named = named.and_then(|it| shared.peers.responsive_address(&it));
     let Some(address) = named.or_else(|| shared.peers.owner_of(Owners::Any, &driver::key(service)))
     else {
         return answer(shared, service, report);
@@ -492,7 +493,7 @@
             set_driver(shared, service, None);
             match driver::record_if_overdue(shared, service).await {
                 Some(Record { phase, order, .. }) if phase.is_final() => {
-                    Some(Word { offset: order, phase, ..Word::default() })
+                    Some(DriverUpdate { offset: order, phase, ..DriverUpdate::default() })
                 }
                 Some(it) => return set_driver(shared, service, Some(it.driver)),
                 None => None,
@@ -504,7 +505,7 @@
     let Some(it) = local.get_mut(service) else { return };
     it.last_update = asked_at;
     // The lease starts at the request, as the answer may have been delayed.
-    it.gate.hear(word, asked_at + shared.rollouts.lease_ms);
+    it.gate.apply_update(word, asked_at + shared.rollouts.lease_ms);
 }
 
 fn set_driver(shared: &IngressShared, service: &str, driver: Option<Name>) {
--- a/crates/holdpointd/src/ingress/rollouts/driver.rs
+++ b/crates/holdpointd/src/ingress/rollouts/driver.rs
@@ -12,7 +12,7 @@
 use holdpoint_adapter::rollouts::Status;
 use holdpoint_core::{
     ids::{Millis, Name},
-    rollout::{Bound, Order, Phase, Reason, Rollout, State, Word},
+    rollout::{Bound, DriverUpdate, Order, Phase, Reason, Rollout, State},
     subset::weight,
 };
 
@@ -185,7 +185,7 @@
         Record {
             order: offset,
             driver: shared.settings.instance.clone(),
-            life: shared.own_peer().life,
+            life: shared.own_peer().incarnation,
             phase: own.map(|it| it.phase()).filter(|it| it.is_final()).unwrap_or_default(),
             spent: own.map_or(0, |it| it.reserve()).max(recorded_permits),
             until: current
@@ -206,10 +206,11 @@
     (begun, may_take_over): (Millis, bool),
 ) -> bool {
     let Some(record) = record else { return true };
-    let is_own = record.driver == shared.settings.instance && record.life == shared.own_peer().life;
+    let is_own =
+        record.driver == shared.settings.instance && record.life == shared.own_peer().incarnation;
     if record.phase.is_final() {
         if !driven.rollout.phase().is_final() || driven.rollout.phase() != record.phase {
-            driven.rollout.end(begun, record.phase);
+            driven.rollout.adopt_final(begun, record.phase);
         }
         driven.decided = None;
     }
@@ -217,7 +218,7 @@
         (driven.is_mine, driven.other, driven.checked) = (true, None, Some(begun));
         return false;
     }
-    if shared.peers.is_life(&record.driver, &record.life) && !may_take_over {
+    if shared.peers.is_responsive_incarnation(&record.driver, &record.life) && !may_take_over {
         if driven.is_mine {
             let detail = format!("driver={} drives=false", record.driver);
             emit(events::ROLLOUT_DRIVER, &shared.settings.instance, &detail);
@@ -243,7 +244,7 @@
     let order = it.rollout.order().clone();
     let now = shared.clock.now();
     *it = Driven::new(now, order, shared.rollouts.bound, claim.spent);
-    it.rollout.end_by(now + claim.until.saturating_sub(unix_now_ms()));
+    it.rollout.limit_deadline(now + claim.until.saturating_sub(unix_now_ms()));
     (it.is_mine, it.checked, it.end) = (true, Some(begun), end);
     let left = it.rollout.order().until.saturating_sub(now);
     let detail = format!(
@@ -261,7 +262,8 @@
     let now = shared.clock.now();
     let mut driven = shared.rollouts.driven.lock();
     let it = driven.get_mut(service).filter(|it| it.is_confirmed(now))?;
-    let next = if is_withdrawn { it.rollout.withdrawn() } else { it.rollout.next(now, new, old) };
+    let next =
+        if is_withdrawn { it.rollout.withdrawal() } else { it.rollout.due_phase(now, new, old) };
     it.decided = next.as_ref().map(|it| it.0);
     next
 }
@@ -281,7 +283,7 @@
         let record = Record {
             order: it.rollout.offset(),
             driver: shared.settings.instance.clone(),
-            life: shared.own_peer().life,
+            life: shared.own_peer().incarnation,
             phase: end.unwrap_or_default(),
             spent: reserve.unwrap_or(it.rollout.reserve()),
             until: to_unix_ms(shared, it.rollout.order().until),
@@ -294,7 +296,7 @@
     match written {
         Ok(end) => {
             (it.end, it.checked) = (end, Some(begun));
-            it.rollout.reserved(record.spent);
+            it.rollout.confirm_reserve(record.spent);
             true
         }
         Err(cause) => {
@@ -334,7 +336,7 @@
         let driven = shared.rollouts.driven.lock();
         let Some(it) = driven.get(service).filter(|it| it.is_confirmed(now)) else { return };
         let state = it.rollout.phase().state();
-        if it.published == Some(state) || !it.rollout.may_tell(now) {
+        if it.published == Some(state) || !it.rollout.may_publish(now) {
             return;
         }
         let version = it.rollout.order().version.clone();
@@ -374,14 +376,19 @@
         return DriverAnswer::Other(other.clone());
     }
     // The instance that saw the order first has the most accurate deadline.
-    it.rollout.end_by(now + left_ms);
-    it.rollout.tell(now, &instance, life, input);
+    it.rollout.limit_deadline(now + left_ms);
+    it.rollout.record_report(now, &instance, life, input);
     if !is_over && !it.is_confirmed(now) {
         return DriverAnswer::Nothing;
     }
     let quota = it.rollout.quota(&instance, life);
-    let wanted = it.rollout.wanted();
-    DriverAnswer::Word(Word { offset, phase: it.reported_phase(), quota, wanted })
+    let wanted = it.rollout.needed_routes();
+    DriverAnswer::Word(DriverUpdate {
+        offset,
+        phase: it.reported_phase(),
+        quota,
+        needed_routes: wanted,
+    })
 }
 
 /// Reads the record of a roll-out if the driver has sent no update for [`RECORD_READ_MS`].
--- a/crates/holdpointd/src/ingress/rollouts/record.rs
+++ b/crates/holdpointd/src/ingress/rollouts/record.rs
@@ -9,7 +9,7 @@
     store::{KeyedRecord, ROLLOUTS_TOPIC, STATUS_TOPIC},
 };
 use holdpoint_core::{
-    evacuation::Horizon,
+    evacuation::LogOffset,
     ids::{Millis, Name},
     rollout::Phase,
 };
@@ -17,13 +17,13 @@
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
 
-use crate::ingress::store::{Eras, StoreClient, StoreError};
+use crate::ingress::store::{StoreClient, StoreEpochs, StoreError};
 
 /// State that a driver persists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Record {
     /// Offset of the order.
-    pub(super) order: Horizon,
+    pub(super) order: LogOffset,
     /// Instance that drives it, and its incarnation.
     pub(super) driver: Name,
     pub(super) life: String,
@@ -60,7 +60,7 @@
 
 impl Records {
     /// Creates a client that is not connected yet.
-    pub(super) fn new(settings: &IngressSettings, eras: Arc<Eras>) -> Records {
+    pub(super) fn new(settings: &IngressSettings, eras: Arc<StoreEpochs>) -> Records {
         let store = &settings.store;
         let timeout = Duration::from_millis(store.timeout_ms);
         Records { client: StoreClient::new(&store.address, timeout, eras) }
@@ -93,7 +93,7 @@
     pub(super) async fn write_status(
         &mut self,
         service: &str,
-        order: Horizon,
+        order: LogOffset,
         status: &Status,
     ) -> Result<(), WriteError> {
         let (statuses, end) = self.client.newest(STATUS_TOPIC).await?;
--- a/crates/holdpointd/src/ingress/rollouts/running.rs
+++ b/crates/holdpointd/src/ingress/rollouts/running.rs
@@ -13,7 +13,7 @@
 
 /// Counts a request as in flight until it is dropped. A request dropped without an answer after the time
 /// in which answers are due counts as silent: its caller has disconnected, or its deadline has passed.
-pub(crate) struct Running {
+pub(crate) struct InFlightSend {
     shared: Arc<IngressShared>,
     target: TargetInstance,
     route: String,
@@ -23,15 +23,15 @@
     id: String,
 }
 
-impl std::fmt::Debug for Running {
+impl std::fmt::Debug for InFlightSend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Running").field("target", &self.target.id).finish_non_exhaustive()
     }
 }
 
-impl Running {
+impl InFlightSend {
     /// Counts a request as sent; `None` if the service has no roll-out.
-    pub(crate) fn begin(ctx: &Context, target: &TargetInstance) -> Option<Running> {
+    pub(crate) fn begin(ctx: &Context, target: &TargetInstance) -> Option<InFlightSend> {
         let rollouts = &ctx.shared.rollouts;
         if !rollouts.is_active() {
             return None;
@@ -39,14 +39,14 @@
         let mut local = rollouts.local.lock();
         let it = local.get_mut(&target.service)?;
         let is_new = target.version == it.gate.order().version;
-        it.gate.reached(1);
+        it.gate.count_reached(1);
         it.unanswered.insert(ctx.request.id.clone());
         if !is_new {
-            it.gate.old_begun();
+            it.gate.begin_old();
         }
         let labels = [label("service", target.service.as_str()), version_label(is_new)];
         ctx.shared.metrics.rollout_sends.add(1, &labels);
-        Some(Running {
+        Some(InFlightSend {
             shared: ctx.shared.clone(),
             target: target.clone(),
             route: ctx.route.name.clone(),
@@ -58,15 +58,15 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightSend {
     fn drop(&mut self) {
         let mut local = self.shared.rollouts.local.lock();
         let Some(it) = local.get_mut(&self.target.service) else { return };
         if !self.is_new {
-            it.gate.old_ended();
+            it.gate.end_old();
         }
         if it.unanswered.remove(&self.id) && self.due <= self.begun.elapsed() {
-            it.gate.answered(&self.route, self.is_new, Answer::Silent);
+            it.gate.record_answer(&self.route, self.is_new, Answer::TimedOut);
         }
     }
 }
--- a/crates/holdpointd/src/ingress/send.rs
+++ b/crates/holdpointd/src/ingress/send.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use holdpoint_adapter::headers::{self, Added, TargetHead};
+use holdpoint_adapter::headers::{self, SystemHeaders, TargetHead};
 use holdpoint_core::directory::TargetInstance;
 use holdpoint_platform::Instant;
 use http::{HeaderMap, Method, Request, Response, StatusCode, response::Parts};
@@ -13,10 +13,10 @@
 use crate::ingress::{
     connections::{Connection, Reuse},
     context::Context,
-    gate::{Barred, ExchangeError, Payload, exchange},
+    gate::{ExchangeError, Payload, SendBlock, exchange},
     limits::Permit,
     shared::IngressShared,
-    unread::MOST_EACH,
+    unread::MAX_RESPONSE_BYTES,
 };
 
 /// Longest request body that may still be in transit when its connection is kept after the answer.
@@ -37,23 +37,23 @@
 
 /// Why an internal call to a target has no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoAnswer {
+pub(crate) enum InternalCallError {
     /// There is no connection to the target, or no byte of the call was sent.
     NotSent,
     /// The gate refused the send.
-    Barred(Barred),
+    Blocked(SendBlock),
     /// The connection broke off.
     Broken,
     /// The call timed out.
-    Silent,
+    TimedOut,
 }
 
-impl From<ExchangeError> for NoAnswer {
-    fn from(why: ExchangeError) -> NoAnswer {
+impl From<ExchangeError> for InternalCallError {
+    fn from(why: ExchangeError) -> InternalCallError {
         match why {
-            ExchangeError::Blocked(it) => NoAnswer::Barred(it),
-            ExchangeError::NotSent => NoAnswer::NotSent,
-            ExchangeError::Broken | ExchangeError::Crossed => NoAnswer::Broken,
+            ExchangeError::Blocked(it) => InternalCallError::Blocked(it),
+            ExchangeError::NotSent => InternalCallError::NotSent,
+            ExchangeError::Broken | ExchangeError::Crossed => InternalCallError::Broken,
         }
     }
 }
@@ -63,7 +63,7 @@
     /// There is no connection to the target, or no byte of the request was sent.
     NotSent,
     /// The gate refused the send.
-    Blocked(Barred),
+    Blocked(SendBlock),
     /// The target has not run the request and never will.
     Declined {
         status: StatusCode,
@@ -81,7 +81,7 @@
     ctx: &Context,
     target: &TargetInstance,
     permit: Permit,
-    added_headers: &Added<'_>,
+    added_headers: &SystemHeaders<'_>,
 ) -> SendOutcome {
     let Context { shared, request, .. } = ctx;
     let Ok(mut connection) = shared.connections.take(target, ctx.reuse()).await else {
@@ -96,7 +96,7 @@
         Err(ExchangeError::Blocked(it)) => return SendOutcome::Blocked(it),
         Err(ExchangeError::NotSent) => return SendOutcome::NotSent,
         Err(ExchangeError::Broken) => {
-            ctx.broke_off(target);
+            ctx.connection_broken(target);
             return SendOutcome::Broken;
         }
         Err(ExchangeError::Crossed) => return SendOutcome::Broken,
@@ -139,8 +139,8 @@
         let Ok(frame) = frame else { return BodyRead::Broken };
         let Ok(data) = frame.into_data() else { continue };
         read.extend_from_slice(&data);
-        match shared.unread.count(data.len()) {
-            Some(it) if read.len() <= MOST_EACH => counted.push(it),
+        match shared.unread.reserve(data.len()) {
+            Some(it) if read.len() <= MAX_RESPONSE_BYTES => counted.push(it),
             _ => return BodyRead::Long(read.freeze(), body),
         }
     }
@@ -148,46 +148,49 @@
 }
 
 /// An internal call to a target.
-pub(crate) struct OwnCall {
+pub(crate) struct InternalCall {
     pub(crate) path: &'static str,
     pub(crate) body: Vec<u8>,
     pub(crate) payload: Payload<'static>,
 }
 
 /// Makes an internal call; returns the status, head and body of its answer.
-pub(crate) async fn own_call(
+pub(crate) async fn internal_call(
     shared: &IngressShared,
     (target, permit): (&TargetInstance, Permit),
-    call: OwnCall,
+    call: InternalCall,
     limit: Duration,
-) -> Result<(StatusCode, TargetHead, Bytes), NoAnswer> {
+) -> Result<(StatusCode, TargetHead, Bytes), InternalCallError> {
     let calling = async {
         let taken = shared.connections.take(target, Reuse::Any).await;
-        let mut connection = taken.map_err(|_| NoAnswer::NotSent)?;
+        let mut connection = taken.map_err(|_| InternalCallError::NotSent)?;
         let mut request = Request::new(Full::new(Bytes::from(call.body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = http::Uri::from_static(call.path);
-        *request.headers_mut() = headers::own_call(&target.id);
+        *request.headers_mut() = headers::internal_call_headers(&target.id);
         set_host(request.headers_mut(), &target.address);
         let sent = exchange(shared, &mut connection, (target, &permit), call.payload, request);
         let (head, response) = sent.await?;
         let status = response.status();
         let body = response.into_body().collect().await;
-        let body = body.map_err(|_| NoAnswer::Broken)?.to_bytes();
-        if !head.closes {
+        let body = body.map_err(|_| InternalCallError::Broken)?.to_bytes();
+        if !head.is_closing {
             shared.connections.give_back(connection, head.idle_limit);
         }
         Ok((status, head, body))
     };
-    tokio::time::timeout(limit, calling).await.map_err(|_| NoAnswer::Silent)?
+    tokio::time::timeout(limit, calling).await.map_err(|_| InternalCallError::TimedOut)?
 }
 
 /// Time left until an instant; zero once it has passed.
-pub(crate) fn left(until: Instant) -> Duration {
+pub(crate) fn time_until(until: Instant) -> Duration {
     until.saturating_duration_since(Instant::now())
 }
 
-fn outgoing(request: &CallerRequest, added_headers: &Added<'_>) -> Option<Request<Full<Bytes>>> {
+fn outgoing(
+    request: &CallerRequest,
+    added_headers: &SystemHeaders<'_>,
+) -> Option<Request<Full<Bytes>>> {
     let mut out = Request::new(Full::new(request.body.clone()));
     *out.method_mut() = request.method.clone();
     let path = request.path.path_and_query()?.clone();
@@ -212,7 +215,7 @@
 ) {
     use hyper::body::Body;
     let is_empty = response.body().is_end_stream();
-    if is_empty && !head.closes && body_length <= SHORT_BODY_BYTES {
+    if is_empty && !head.is_closing && body_length <= SHORT_BODY_BYTES {
         shared.connections.give_back(connection, head.idle_limit);
     }
 }
--- a/crates/holdpointd/src/ingress/shared.rs
+++ b/crates/holdpointd/src/ingress/shared.rs
@@ -19,10 +19,10 @@
 use holdpoint_core::{
     backoffs::Backoffs,
     change_log::{ChangeLog, Revision},
-    deadline::{Patience, Times},
+    deadline::{StatedTimeouts, Times},
     directory::{Change, Directory, TargetId, TargetInstance},
     ids::{Millis, Name},
-    ingress::{Configuration, newer},
+    ingress::{Configuration, is_newer},
     topology::Topology,
 };
 use holdpoint_platform::{Clock, Instant};
@@ -38,11 +38,11 @@
         confinement::Confinements,
         confirm::Confirmation,
         connections::Connections,
-        declared::Declared,
-        departures::{Departure, Departures},
+        declared::ActiveResources,
+        departures::{DrainNotice, DrainNotices},
         domains::Domains,
         limits::Limits,
-        news::{News, TargetList},
+        news::{StateChange, TargetList},
         packed::{Packed, peer_hash},
         peer_service::PROTOCOL,
         peers::{Peer, Peers, own_capacity},
@@ -51,11 +51,11 @@
         regions::Regions,
         releases::Releases,
         rollouts::Rollouts,
-        store::Eras,
-        unread::Unread,
+        store::StoreEpochs,
+        unread::UnreadBuffers,
     },
     metrics::Metrics,
-    shared::{InFlight, Lazy},
+    shared::{InFlight, LazyMap},
 };
 
 /// Age up to which a read of the list of targets counts as fresh.
@@ -101,24 +101,24 @@
     /// Targets that have asked this instance to back off.
     pub(crate) backoffs: Mutex<Backoffs>,
     /// Drain notices received in responses of targets.
-    pub(crate) departures: Departures,
+    pub(crate) departures: DrainNotices,
     /// Policies and experiments declared by operators.
-    pub(crate) experiments: Declared,
+    pub(crate) experiments: ActiveResources,
     pub(crate) in_flight: Arc<InFlight>,
     /// Becomes true when callers' connections must be closed.
     pub(crate) closing: watch::Sender<bool>,
     /// Becomes true shortly before the end of a planned stop: all pending requests get a final response.
     pub(crate) answer_now: watch::Sender<bool>,
     /// Whether a planned stop has begun.
-    pub(crate) is_leaving: AtomicBool,
+    pub(crate) is_draining: AtomicBool,
     /// Time to the first event of a stream, by route.
-    pub(crate) first_times: Lazy<Mutex<Times>>,
+    pub(crate) first_times: LazyMap<Mutex<Times>>,
     /// Timeouts stated by callers, by route.
-    pub(crate) patiences: Lazy<Mutex<Patience>>,
+    pub(crate) stated_timeouts: LazyMap<Mutex<StatedTimeouts>>,
     /// Notified when the machine resumes from a suspension.
     resumed: watch::Sender<()>,
     /// Newest known epoch of the store.
-    pub(crate) eras: Arc<Eras>,
+    pub(crate) epochs: Arc<StoreEpochs>,
     /// When this instance last wrote its own entry to the store, in milliseconds; 0 if never.
     pub(crate) entry_written: AtomicU64,
     /// Notified when the store did not answer: pending long polls start over.
@@ -130,14 +130,14 @@
     /// Held while a newer configuration is fetched from a peer.
     pub(crate) catching_up: tokio::sync::Mutex<()>,
     /// Random id of this incarnation of the process.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     /// Notified when there is an update for followers of this instance.
-    pub(crate) has_news: watch::Sender<()>,
-    changes: Mutex<ChangeLog<News>>,
+    pub(crate) updated: watch::Sender<()>,
+    changes: Mutex<ChangeLog<StateChange>>,
     /// When the active configuration was last confirmed to be the newest.
     pub(crate) confirmation: Confirmation,
     /// Response data that callers have not read yet.
-    pub(crate) unread: Unread,
+    pub(crate) unread: UnreadBuffers,
     /// Compressed lists for peers.
     pub(crate) packed: Packed,
     /// Becomes true once the first attempt to learn the peers, from seeds or the store, has ended.
@@ -161,7 +161,7 @@
     /// Creates the state of an instance without configuration, targets and peers.
     pub(crate) fn new(settings: IngressSettings) -> IngressShared {
         let connect = Duration::from_millis(settings.timing.connect_ms);
-        let eras = Arc::new(Eras::default());
+        let eras = Arc::new(StoreEpochs::default());
         IngressShared {
             clock: Clock::new(),
             topology: Topology::new(&settings.region, settings.regions.clone()),
@@ -179,26 +179,26 @@
             quarantines: Quarantines::default(),
             limits: Limits::default(),
             backoffs: Mutex::default(),
-            departures: Departures::default(),
-            experiments: Declared::default(),
+            departures: DrainNotices::default(),
+            experiments: ActiveResources::default(),
             in_flight: Arc::default(),
             closing: watch::channel(false).0,
             answer_now: watch::channel(false).0,
-            is_leaving: AtomicBool::new(false),
-            first_times: Lazy::default(),
-            patiences: Lazy::default(),
+            is_draining: AtomicBool::new(false),
+            first_times: LazyMap::default(),
+            stated_timeouts: LazyMap::default(),
             resumed: watch::channel(()).0,
-            eras,
+            epochs: eras,
             entry_written: AtomicU64::new(0),
             store_lost: Notify::new(),
             reading: watch::channel(false).0,
             is_store_silent: watch::channel(false).0,
             catching_up: tokio::sync::Mutex::default(),
-            life: rand::random(),
-            has_news: watch::channel(()).0,
+            incarnation: rand::random(),
+            updated: watch::channel(()).0,
             changes: Mutex::new(ChangeLog::new(MAX_KEPT_CHANGES)),
             confirmation: Confirmation::default(),
-            unread: Unread::new(settings.machine.memory_mb),
+            unread: UnreadBuffers::new(settings.machine.memory_mb),
             packed: Packed::default(),
             peers_known: watch::channel(false).0,
             configuration: ArcSwap::default(),
@@ -223,7 +223,7 @@
     }
 
     /// Applies a configuration if it is newer than the active one; logs one that is invalid.
-    pub(crate) fn offer_configuration(&self, value: &Bytes, source: &str) {
+    pub(crate) fn apply_configuration(&self, value: &Bytes, source: &str) {
         let found = match holdpoint_adapter::configuration::parse(value) {
             Ok(it) => it,
             Err(it) => {
@@ -233,7 +233,7 @@
             }
         };
         let current = self.configuration();
-        if !newer(current.version, found.version) {
+        if !is_newer(current.version, found.version) {
             return;
         }
         let detail = format!(
@@ -249,8 +249,8 @@
         self.pools.configure(&self.configuration());
         self.connections.configure(&self.configuration(), self.peers.instance_count());
         self.batches.configure(self);
-        self.confinements.configured(self, &current, &self.configuration());
-        self.has_news.send_replace(());
+        self.confinements.configuration_changed(self, &current, &self.configuration());
+        self.updated.send_replace(());
     }
 
     /// Changes the directory and applies the changes to all modules that depend on it.
@@ -263,18 +263,18 @@
         }
         changes.log(&self.settings.instance, &directory);
         let joined = changes.joined().filter_map(|it| directory.get(it));
-        joined.for_each(|it| self.confinements.check(self, &it.domain));
+        joined.for_each(|it| self.confinements.check_domain(self, &it.domain));
         for it in changes.joined().filter_map(|it| directory.get(it)) {
-            self.backoffs.lock().new_life(&it.id, it.born);
+            self.backoffs.lock().set_incarnation(&it.id, it.born);
         }
         let now = self.clock.now();
         self.assume_joined_cold(now, &mut directory, &changes);
         self.publish(changes.ids().map(|id| match directory.get(id) {
             Some(it) => {
                 let cold_left_ms = Some(directory.cold_left(now, id));
-                News::Target(TargetInstance { cold_left_ms, ..it.clone() })
+                StateChange::Target(TargetInstance { cold_left_ms, ..it.clone() })
             }
-            None => News::TargetGone(id.clone()),
+            None => StateChange::TargetGone(id.clone()),
         }));
         // State of earlier incarnations is dropped, as for removed targets.
         let restarted: HashSet<&str> = changes.restarted().map(String::as_str).collect();
@@ -305,16 +305,16 @@
             };
             let cold = configuration.services.get(&it.service).and_then(|it| it.cold);
             if let Some(it) = cold {
-                directory.hold_cold(now, id, it.start_ms);
+                directory.assume_cold(now, id, it.start_ms);
             }
         }
     }
 
     /// Treats each target as cold for the given number of milliseconds.
-    pub(crate) fn hold_cold<'a>(&self, targets: impl Iterator<Item = (&'a str, Millis)>) {
+    pub(crate) fn assume_cold<'a>(&self, targets: impl Iterator<Item = (&'a str, Millis)>) {
         let now = self.clock.now();
         let mut directory = self.directory.lock();
-        targets.for_each(|(id, ms)| directory.hold_cold(now, id, ms));
+        targets.for_each(|(id, ms)| directory.assume_cold(now, id, ms));
     }
 
     /// Applies the directory and the evacuated domains to all modules that depend on them.
@@ -326,7 +326,7 @@
     /// directory, unless regions are configured or many targets have changed.
     fn apply_changes<'a>(&self, directory: &Directory, ids: impl Iterator<Item = &'a TargetId>) {
         let ids: BTreeSet<&str> = ids.map(String::as_str).collect();
-        if self.topology.is_split() || directory.len() < FULL_APPLY_RATIO * ids.len() {
+        if self.topology.has_regions() || directory.len() < FULL_APPLY_RATIO * ids.len() {
             // Whether a target of one region is used may depend on the targets of another region.
             return self.apply(directory);
         }
@@ -350,16 +350,16 @@
     }
 
     /// Adds updates to the change log and wakes the followers of this instance.
-    fn publish(&self, changes: impl Iterator<Item = News>) {
+    fn publish(&self, changes: impl Iterator<Item = StateChange>) {
         let mut log = self.changes.lock();
         changes.for_each(|it| log.push(it));
         drop(log);
-        self.has_news.send_replace(());
+        self.updated.send_replace(());
     }
 
     /// Changes since a revision, and the revision after them; `None` instead of changes that are no longer
     /// in the log.
-    pub(crate) fn changes_since(&self, from: Revision) -> (Option<Vec<News>>, Revision) {
+    pub(crate) fn changes_since(&self, from: Revision) -> (Option<Vec<StateChange>>, Revision) {
         let changes = self.changes.lock();
         (changes.since(from), changes.end())
     }
@@ -376,7 +376,7 @@
         entries.retain(|(name, peer)| self.peers.set(name, peer.clone()));
         let mut changes = PeerChanges::default();
         for (name, peer) in &entries {
-            changes.note(name, peer.as_ref().map(|it| it.address.clone()));
+            changes.record(name, peer.as_ref().map(|it| it.address.clone()));
         }
         if changes.is_empty() {
             return;
@@ -385,16 +385,16 @@
         self.pools.set_instances(known);
         self.connections.configure(&self.configuration(), known);
         changes.log(&self.settings.instance, known);
-        self.publish(entries.into_iter().map(|(name, peer)| News::Peer(name, peer)));
+        self.publish(entries.into_iter().map(|(name, peer)| StateChange::Peer(name, peer)));
     }
 
     /// Applies stage durations and loads reported by the instances that batch the services' calls.
-    pub(crate) fn take_stage_loads(&self, reported: StageLoads) {
+    pub(crate) fn apply_stage_loads(&self, reported: StageLoads) {
         let now = self.clock.now();
         for (service, ms) in &reported.times {
-            self.pools.of(now, service).stage_takes(now, (*ms).min(MAX_STAGE_MS));
+            self.pools.of(now, service).record_stage_time(now, (*ms).min(MAX_STAGE_MS));
         }
-        self.batches.told(self, now, reported.loads);
+        self.batches.apply_loads(self, now, reported.loads);
     }
 
     /// All resources in the store by key: declarations of operators and quarantined requests.
@@ -406,9 +406,9 @@
 
     /// Applies a new value of a resource, or its removal; logs one that is invalid.
     pub(crate) fn set_resource(&self, key: &str, value: Option<Bytes>) {
-        if let Some(is_new) = quarantine::set_stored(self, key, value.clone()) {
+        if let Some(is_new) = quarantine::apply_stored(self, key, value.clone()) {
             if is_new {
-                self.publish(std::iter::once(News::Resource(key.to_owned(), value)));
+                self.publish(std::iter::once(StateChange::Resource(key.to_owned(), value)));
             }
             return;
         }
@@ -417,7 +417,7 @@
             Ok(true) => {
                 let detail = format!("key={key} is_dropped={}", value.is_none());
                 emit(events::DECLARED, &self.settings.instance, &detail);
-                self.publish(std::iter::once(News::Resource(key.to_owned(), value)));
+                self.publish(std::iter::once(StateChange::Resource(key.to_owned(), value)));
             }
             Err(it) => {
                 let detail = format!("key={key} cause=\"{it}\"");
@@ -429,7 +429,7 @@
     /// All instances, for a peer: the known peers, and this instance unless it is draining.
     pub(crate) fn instances(&self) -> Vec<(Name, Peer)> {
         let mut instances = self.peers.all();
-        if !self.is_leaving.load(Ordering::Acquire) {
+        if !self.is_draining.load(Ordering::Acquire) {
             instances.push((self.settings.instance.clone(), self.own_peer()));
         }
         instances
@@ -437,7 +437,7 @@
 
     /// Sum of the hashes of all instances, as [`Self::instances`] lists them.
     pub(crate) fn instances_digest(&self) -> u64 {
-        let own = if self.is_leaving.load(Ordering::Acquire) {
+        let own = if self.is_draining.load(Ordering::Acquire) {
             0
         } else {
             peer_hash(&self.settings.instance, &self.own_peer())
@@ -449,7 +449,7 @@
     pub(crate) fn own_peer(&self) -> Peer {
         Peer {
             address: self.settings.listen.peers.clone(),
-            life: format!("{:x}", self.life),
+            incarnation: format!("{:x}", self.incarnation),
             capacity: own_capacity(&self.settings),
             protocol: PROTOCOL,
             domain: self.settings.domain.clone(),
@@ -468,11 +468,11 @@
     }
 
     /// Applies a drain notice that did not come from a target's entry.
-    pub(crate) fn target_leaves(&self, departure: &Departure, sign: &'static str) -> Change {
+    pub(crate) fn mark_draining(&self, departure: &DrainNotice, sign: &'static str) -> Change {
         let mut change = Change::Nothing;
         self.change_directory(|directory, changes| {
-            change = directory.leave(&departure.target, departure.born);
-            changes.note(departure.target.clone(), change, sign);
+            change = directory.mark_draining(&departure.target, departure.born);
+            changes.record(departure.target.clone(), change, sign);
         });
         change
     }
@@ -485,20 +485,20 @@
     /// A known target that may get new work: it is not draining, its failure domain is not evacuated, and
     /// its version is not held back by a rollout.
     pub(crate) fn open_target(&self, id: &str) -> Option<TargetInstance> {
-        let found = self.directory.lock().get(id).filter(|it| !it.is_leaving).cloned();
+        let found = self.directory.lock().get(id).filter(|it| !it.is_draining).cloned();
         let found = found.filter(|it| !self.domains.is_evacuated(&it.domain));
         found.filter(|it| self.rollouts.is_open(self.clock.now(), it))
     }
 
     /// Remaining backoff that a target has requested from this instance, in milliseconds.
     pub(crate) fn backoff_ms(&self, target: &TargetInstance) -> Millis {
-        self.backoffs.lock().left(self.clock.now(), (&target.id, &target.service))
+        self.backoffs.lock().remaining_ms(self.clock.now(), (&target.id, &target.service))
     }
 
     /// Whether a target has restarted under its id since it was chosen, so that a response concerns its former
     /// incarnation.
-    pub(crate) fn is_of_former_life(&self, target: &TargetInstance) -> bool {
-        self.directory.lock().is_former_life(&target.id, target.born)
+    pub(crate) fn is_of_former_incarnation(&self, target: &TargetInstance) -> bool {
+        self.directory.lock().is_former_incarnation(&target.id, target.born)
     }
 
     /// Whether a target is cold.
@@ -545,9 +545,9 @@
     }
 
     /// Handles the end of a suspension of the machine.
-    pub(crate) fn woken_after(&self, suspended: Duration) {
+    pub(crate) fn handle_resume(&self, suspended: Duration) {
         let detail = format!("suspended_ms={}", suspended.as_millis());
-        emit(events::WOKEN, &self.settings.instance, &detail);
+        emit(events::SUSPENDED, &self.settings.instance, &detail);
         self.resumed.send_replace(());
         // A pending long poll may return data as old as the suspension.
         self.store_lost.notify_waiters();
@@ -568,15 +568,15 @@
     }
 
     /// Waits until pending requests must get a final response because the stop is near.
-    pub(crate) async fn stop_nears(&self) {
+    pub(crate) async fn wait_for_final_answers(&self) {
         let mut answer_now = self.answer_now.subscribe();
         // The sender lives as long as the instance.
         let _ = answer_now.wait_for(|it| *it).await;
     }
 
     /// Waits until a configuration and targets are known, for at most `START_TIMEOUT` after the start.
-    pub(crate) async fn started(&self) {
-        let mut has_news = self.has_news.subscribe();
+    pub(crate) async fn wait_until_started(&self) {
+        let mut has_news = self.updated.subscribe();
         let is_started = async { while !self.has_started() && has_news.changed().await.is_ok() {} };
         let left = START_TIMEOUT.saturating_sub(self.started_at.elapsed());
         // The caller checks for itself whether it can go on.
@@ -585,7 +585,7 @@
 
     /// Whether the load balancer may send callers here.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving.load(Ordering::Acquire) && self.has_started()
+        !self.is_draining.load(Ordering::Acquire) && self.has_started()
     }
 
     /// Whether a configuration and targets are known.
--- a/crates/holdpointd/src/ingress/shared/reads.rs
+++ b/crates/holdpointd/src/ingress/shared/reads.rs
@@ -11,14 +11,14 @@
     pub(crate) fn targets_were_read(&self, age_ms: Millis) {
         let read = self.clock.now().saturating_sub(age_ms);
         if self.targets_read.fetch_max(read, Ordering::AcqRel) == 0 {
-            self.has_news.send_replace(());
+            self.updated.send_replace(());
         }
     }
 
     /// Waits until the list of targets has been read for the first time, by this instance or the one
     /// that it follows.
     pub(crate) async fn first_read(&self) {
-        let mut has_news = self.has_news.subscribe();
+        let mut has_news = self.updated.subscribe();
         while self.targets_read.load(Ordering::Acquire) == 0 {
             // The sender lives as long as the instance.
             let _ = has_news.changed().await;
--- a/crates/holdpointd/src/ingress/spill.rs
+++ b/crates/holdpointd/src/ingress/spill.rs
@@ -10,7 +10,7 @@
 use futures::future::join_all;
 use holdpoint_core::{
     ids::{Millis, Name},
-    spill::{Borrower, LEASE_MS, Lease, Lender, LinkBudget, Prospect, chain_ms},
+    spill::{Borrower, LEASE_MS, Lease, Lender, LinkBudget, SpillEstimate, critical_path_ms},
     stage_graph::StageGraph,
 };
 use holdpoint_platform::Instant;
@@ -21,10 +21,10 @@
     events::{self, emit},
     ingress::{
         context::Context,
-        peers::PLACE_LIMIT,
-        regions::{FAR_REGION_MS, batcher_of, limit_for, other_regions_serving, own_batcher_of},
+        peers::TARGET_CHOICE_TIMEOUT,
+        regions::{REGION_RTT_MS, batcher_of, call_timeout, other_regions_serving, own_batcher_of},
         shared::IngressShared,
-        stages::{first_event_ms, stage_ms, usual_ms},
+        stages::{expected_stage_ms, first_event_ms, nominal_stage_ms},
     },
     metrics::label,
 };
@@ -87,7 +87,7 @@
                 "service={service} places={} wanted={wanted} spare={spare} usual_ms={usual_ms}",
                 lease.places
             );
-            emit(events::PLACES_LENT, &shared.settings.instance, &detail);
+            emit(events::CAPACITY_LENT, &shared.settings.instance, &detail);
         }
         lease
     }
@@ -106,7 +106,7 @@
     /// Spends bytes of the link's budget; returns whether they were left.
     fn spend(&self, shared: &IngressShared, bytes: u64) -> bool {
         let mut link = self.link.lock();
-        link.set_users(self.link_mbps, LINK_SHARE, shared.peers.near_count());
+        link.set_users(self.link_mbps, LINK_SHARE, shared.peers.own_region_count());
         link.spend(shared.clock.now(), bytes)
     }
 }
@@ -126,7 +126,7 @@
 async fn borrow(shared: &Arc<IngressShared>, remote: RemoteService, wanted: u32) {
     let (service, region) = &remote;
     let Some(address) = batcher_of(shared, region, service) else { return };
-    let limit = limit_for(shared, region, PLACE_LIMIT);
+    let limit = call_timeout(shared, region, TARGET_CHOICE_TIMEOUT);
     let asked_at = shared.clock.now();
     let res = shared.peers.lend(shared, &address, service, wanted, limit).await;
     let lease = res.unwrap_or_default();
@@ -134,15 +134,15 @@
         "service={service} region={region} wanted={wanted} places={} usual_ms={}",
         lease.places, lease.usual_ms
     );
-    emit(events::PLACES_BORROWED, &shared.settings.instance, &detail);
+    emit(events::CAPACITY_REQUESTED, &shared.settings.instance, &detail);
     shared.regions.spill.receive(asked_at, remote, lease);
 }
 
 /// Sends a request to another region if it would be late in its own region and in time there.
-pub(crate) async fn leave_if_late(ctx: &Context) {
+pub(crate) async fn spill_if_late(ctx: &Context) {
     let Some(graph) = spillable_stages(ctx) else { return };
-    let here = |stage: usize| usual_ms(ctx, service_of(ctx, stage));
-    let here_ms = first_event_ms(ctx) + chain_ms(&graph, &here);
+    let here = |stage: usize| expected_stage_ms(ctx, service_of(ctx, stage));
+    let here_ms = first_event_ms(ctx) + critical_path_ms(&graph, &here);
     if left_ms(ctx) < here_ms {
         try_spill(ctx, &graph, here_ms).await;
     }
@@ -150,7 +150,7 @@
 
 /// Sends a request that its own region has refused to another region, if it would be in time there. Returns
 /// whether it was sent.
-pub(crate) async fn leave_if_refused(ctx: &Context) -> bool {
+pub(crate) async fn spill_if_refused(ctx: &Context) -> bool {
     match spillable_stages(ctx) {
         Some(graph) => try_spill(ctx, &graph, Millis::MAX).await,
         None => false,
@@ -161,17 +161,17 @@
 /// time there without queueing.
 fn spillable_stages(ctx: &Context) -> Option<StageGraph> {
     let topology = &ctx.shared.topology;
-    let is_own_region = topology.is_split() && ctx.region() == topology.own_region();
+    let is_own_region = topology.has_regions() && ctx.region() == topology.own_region();
     if !is_own_region
         || !ctx.shared.regions.spill.is_enabled()
         || ctx.is_spilled()
-        || ctx.has_begun()
+        || ctx.has_work_done()
         || ctx.route.stages.is_empty()
     {
         return None;
     }
-    let graph = StageGraph::new(&ctx.route.stages, &ctx.head.pieces);
-    let min_ms = there_ms(ctx, &graph, |service| stage_ms(ctx, service));
+    let graph = StageGraph::new(&ctx.route.stages, &ctx.head.item_counts);
+    let min_ms = there_ms(ctx, &graph, |service| nominal_stage_ms(ctx, service));
     (!graph.is_empty() && min_ms <= left_ms(ctx)).then_some(graph)
 }
 
@@ -180,14 +180,14 @@
 }
 
 fn left_ms(ctx: &Context) -> Millis {
-    ctx.left_of_target().as_millis() as Millis
+    ctx.target_time_left().as_millis() as Millis
 }
 
 /// Time until the first event of a request served by another region, in milliseconds; `ms` is the duration of
 /// a service's stage there.
 fn there_ms(ctx: &Context, graph: &StageGraph, ms: impl Fn(&str) -> Millis) -> Millis {
-    let stage = |stage: usize| ms(service_of(ctx, stage)) + FAR_REGION_MS;
-    first_event_ms(ctx) + FAR_REGION_MS + chain_ms(graph, &stage)
+    let stage = |stage: usize| ms(service_of(ctx, stage)) + REGION_RTT_MS;
+    first_event_ms(ctx) + REGION_RTT_MS + critical_path_ms(graph, &stage)
 }
 
 /// Sends a request to another region if places, time and bandwidth permit. Returns whether it was sent.
@@ -205,7 +205,7 @@
     };
     let there_ms = there_ms(ctx, graph, |it| times.get(it).copied().unwrap_or(0));
     let left_ms = left_ms(ctx);
-    if !(Prospect { left_ms, here_ms, there_ms }).is_worth_it() {
+    if !(SpillEstimate { left_ms, local_ms: here_ms, remote_ms: there_ms }).should_spill() {
         log_not_spilled(ctx, &region, here_ms, Some(there_ms), "gain");
         return false;
     }
@@ -245,7 +245,7 @@
         ctx.request.id,
         ms_or_none(Some(here_ms).filter(|it| *it != Millis::MAX)),
         ms_or_none(there_ms),
-        ctx.left_of_target().as_millis()
+        ctx.target_time_left().as_millis()
     );
     emit(events::NOT_SPILLED, &ctx.shared.settings.instance, &detail);
     let labels = [label("region", region.to_owned()), label("outcome", cause)];
@@ -255,8 +255,8 @@
 /// Number of places that a request needs at each service.
 fn places<'a>(graph: &StageGraph, service: impl Fn(usize) -> &'a str) -> HashMap<&'a str, u32> {
     let mut places = HashMap::new();
-    for stage in (0..graph.len()).filter(|it| graph.pieces(*it) != 0) {
-        *places.entry(service(stage)).or_default() += graph.pieces(stage);
+    for stage in (0..graph.len()).filter(|it| graph.items(*it) != 0) {
+        *places.entry(service(stage)).or_default() += graph.items(stage);
     }
     places
 }
@@ -269,7 +269,7 @@
     region: &str,
     places: &HashMap<&'a str, u32>,
 ) -> Option<HashMap<&'a str, Millis>> {
-    let until = Instant::now() + PLACE_LIMIT;
+    let until = Instant::now() + TARGET_CHOICE_TIMEOUT;
     let taken = places.iter().map(|(service, count)| async move {
         let (service, count) = (*service, *count);
         let remote = (service.to_owned(), region.to_owned());
--- a/crates/holdpointd/src/ingress/stages.rs
+++ b/crates/holdpointd/src/ingress/stages.rs
@@ -10,8 +10,8 @@
 use holdpoint_core::{
     confinement::{Confinement, Within},
     ids::{Millis, Name},
-    promises::StageAhead,
-    stage_graph::{NoResult, PieceSource, PieceWork, StageGraph},
+    promises::LaterStage,
+    stage_graph::{ItemSource, NoResult, StageGraph, WorkItem},
 };
 
 use holdpoint_platform::Instant;
@@ -20,10 +20,10 @@
     events::{self, emit},
     ingress::{
         context::Context,
-        held::{Held, Results},
-        peers::make_anywhere,
-        piece_ask::{LaterStages, PieceAsk, PieceResult},
-        send::left,
+        held::{StageResults, StoredResults},
+        peers::process_anywhere,
+        piece_ask::{ItemRequest, ItemResult, LaterStages},
+        send::time_until,
         spill,
     },
 };
@@ -35,7 +35,7 @@
 /// Delay before items are requested from another instance, which may not know yet that it batches the service.
 const MOVED_BACKOFF: Duration = Duration::from_millis(15);
 /// Time after which a target that has started a call is assumed to have fetched the call's inputs.
-pub(crate) const FETCHED: Duration = Duration::from_millis(80);
+pub(crate) const INPUT_FETCH_TIME: Duration = Duration::from_millis(80);
 /// Maximum number of times that a request's lost inputs are made again.
 const MAX_INPUT_RETRIES: u32 = 2;
 /// Percentile of the time to the first event that stages leave time for, see also [`FIRST_EVENT_MARGIN`].
@@ -62,64 +62,66 @@
 
 /// Runs all stages; their final results are needed in failure domain `domain`. A request that is refused in its
 /// own region moves to another region that can serve it in time.
-pub(crate) async fn make_all(ctx: &Context, domain: &str) -> Result<Results, NoResult> {
-    spill::leave_if_late(ctx).await;
+pub(crate) async fn run_stages(ctx: &Context, domain: &str) -> Result<StageResults, NoResult> {
+    spill::spill_if_late(ctx).await;
     // `domain` lies in the request's own region.
     let made = run_in_region(ctx, if ctx.is_spilled() { "" } else { domain }).await;
     let is_refused = matches!(made, Err(NoResult::Overload(_)));
-    if is_refused && spill::leave_if_refused(ctx).await {
+    if is_refused && spill::spill_if_refused(ctx).await {
         return run_in_region(ctx, "").await;
     }
     made
 }
 
-async fn run_in_region(ctx: &Context, domain: &str) -> Result<Results, NoResult> {
-    let graph = StageGraph::new(&ctx.route.stages, &ctx.head.pieces);
-    let mut held = Held::new(ctx);
+async fn run_in_region(ctx: &Context, domain: &str) -> Result<StageResults, NoResult> {
+    let graph = StageGraph::new(&ctx.route.stages, &ctx.head.item_counts);
+    let mut held = StoredResults::new(ctx);
     if graph.is_empty() {
-        return Ok(Results::new(Vec::new(), Vec::new(), held));
+        return Ok(StageResults::new(Vec::new(), Vec::new(), held));
     }
     let begun = Instant::now();
     let made = run_graph(ctx, &graph, domain, &mut held).await;
-    ctx.note_stages(begun);
+    ctx.record_stages(begun);
     let results = made?;
-    let last = graph.last().filter_map(|it| Some((it, results[it].as_ref()?)));
+    let last = graph.final_stages().filter_map(|it| Some((it, results[it].as_ref()?)));
     let mut places = BTreeMap::new();
     let mut inputs = Vec::new();
     for (stage, made) in last {
         add_places(ctx, &mut places, &made.handles, ctx.route.stages[stage].bytes);
         inputs.extend(made.handles.iter().cloned());
     }
-    Ok(Results::new(inputs, places.into_iter().collect(), held))
+    Ok(StageResults::new(inputs, places.into_iter().collect(), held))
 }
 
 async fn run_graph(
     ctx: &Context,
     graph: &StageGraph,
     domain: &str,
-    held: &mut Held,
+    held: &mut StoredResults,
 ) -> Result<Vec<Option<StageOutput>>, NoResult> {
     let mut results: Vec<Option<StageOutput>> = vec![None; graph.len()];
-    let mut is_begun: Vec<bool> = (0..graph.len()).map(|it| graph.pieces(it) == 0).collect();
+    let mut is_begun: Vec<bool> = (0..graph.len()).map(|it| graph.items(it) == 0).collect();
     let mut running: FuturesUnordered<BoxFuture<'_, StageOutcome>> = FuturesUnordered::new();
     let mut retries = 0;
     loop {
         for (stage, is_begun) in is_begun.iter_mut().enumerate() {
-            if *is_begun || graph.needs(stage).any(|it| results[it].is_none()) {
+            if *is_begun || graph.dependencies(stage).any(|it| results[it].is_none()) {
                 continue;
             }
             *is_begun = true;
-            let inputs = graph.needs(stage).filter_map(|it| results[it].clone()).collect();
+            let inputs = graph.dependencies(stage).filter_map(|it| results[it].clone()).collect();
             let made = run_stage(ctx, graph, stage, inputs, domain);
             running.push(Box::pin(async move { (stage, made.await) }));
         }
         let Some((stage, outcome)) = running.next().await else { return Ok(results) };
         match outcome {
             Ok(made) => {
-                held.keep(&ctx.route.stages[stage].service, &made.handles);
+                held.add(&ctx.route.stages[stage].service, &made.handles);
                 results[stage] = Some(made);
-                for needed in graph.needs(stage).filter(|it| has_single_dependent(graph, *it)) {
-                    held.forget(handles(&results[needed]));
+                for needed in
+                    graph.dependencies(stage).filter(|it| has_single_dependent(graph, *it))
+                {
+                    held.remove(handles(&results[needed]));
                 }
                 release_used(graph, &results, held);
             }
@@ -131,7 +133,7 @@
                 }
                 let is_held =
                     |it: usize| results[it].as_ref().is_some_and(|it| held.has(&it.handles));
-                for lost in graph.lost_before(stage, is_held) {
+                for lost in graph.stages_to_redo(stage, is_held) {
                     held.release(handles(&results[lost].take()));
                     is_begun[lost] = false;
                 }
@@ -159,17 +161,17 @@
 /// Whether exactly one stage depends on the results, so that the instance that batches this stage may release
 /// them.
 fn has_single_dependent(graph: &StageGraph, stage: usize) -> bool {
-    graph.after(stage).filter(|it| graph.pieces(*it) != 0).count() == 1
+    graph.dependents(stage).filter(|it| graph.items(*it) != 0).count() == 1
 }
 
 /// Releases the results of stages whose dependents have all finished.
-fn release_used(graph: &StageGraph, results: &[Option<StageOutput>], held: &mut Held) {
+fn release_used(graph: &StageGraph, results: &[Option<StageOutput>], held: &mut StoredResults) {
     for (stage, made) in results.iter().enumerate() {
         let Some(made) = made else { continue };
         let is_pending = (0..graph.len())
-            .filter(|it| graph.pieces(*it) != 0 && graph.needs(*it).any(|it| it == stage))
+            .filter(|it| graph.items(*it) != 0 && graph.dependencies(*it).any(|it| it == stage))
             .any(|it| results[it].is_none());
-        if graph.is_needed(stage) && !is_pending {
+        if graph.has_dependents(stage) && !is_pending {
             held.release(&made.handles);
         }
     }
@@ -187,11 +189,11 @@
     let preferred_domain = preferred_domain(ctx, graph, stage, &inputs, domain);
     let within = ctx.within();
     let source = if inputs.is_empty() {
-        PieceSource::Key(ctx.head.piece_key.clone().unwrap_or_default())
+        ItemSource::Key(ctx.head.item_key.clone().unwrap_or_default())
     } else {
-        PieceSource::Inputs(inputs)
+        ItemSource::Inputs(inputs)
     };
-    let count = graph.pieces(stage);
+    let count = graph.items(stage);
     let service = &ctx.route.stages[stage].service;
     let mut handles: Vec<Option<String>> = vec![None; count as usize];
     let mut until = None;
@@ -199,25 +201,25 @@
         let missing: Vec<u32> = (0..count).filter(|it| handles[*it as usize].is_none()).collect();
         let to_request = |item: &u32| {
             let request = new_request(ctx, graph, stage, *item, source.clone(), &preferred_domain);
-            let inputs_for_ms = inputs_until.map(|it| left(it).as_millis() as Millis);
+            let inputs_for_ms = inputs_until.map(|it| time_until(it).as_millis() as Millis);
             let confinement = confinement(&within);
-            PieceAsk { inputs_for_ms, confinement, ..request }
+            ItemRequest { inputs_for_ms, confinement, ..request }
         };
-        let mut requests: Vec<PieceAsk> = missing.iter().map(to_request).collect();
+        let mut requests: Vec<ItemRequest> = missing.iter().map(to_request).collect();
         if let Some(first) = requests.first_mut() {
             first.fingerprint = Some(ctx.fingerprint());
         }
-        if let (Some(first), PieceSource::Inputs(inputs)) = (requests.first_mut(), &source) {
+        if let (Some(first), ItemSource::Inputs(inputs)) = (requests.first_mut(), &source) {
             first.releasable = releasable_inputs(ctx, graph, stage, inputs);
         }
         if let Some(first) = requests.first_mut().filter(|it| it.is_refusable) {
             first.chain = Some(later_stages(ctx, graph, stage));
         }
         let region = ctx.region();
-        let limit = ctx.left_to_begin();
+        let limit = ctx.time_to_begin();
         let made = tokio::select! {
-            it = make_anywhere(&ctx.shared, &region, service, requests, &within, limit) => it,
-            () = ctx.bounds_change(&within) => {
+            it = process_anywhere(&ctx.shared, &region, service, requests, &within, limit) => it,
+            () = ctx.wait_bounds_change(&within) => {
                 // Waiting items are cancelled; the stage is run again within the new bounds.
                 release_all(ctx, stage, handles);
                 return Err(NoResult::InputGone);
@@ -225,16 +227,16 @@
         };
         let failure = store_results(&mut handles, &missing, made);
         if handles.iter().any(Option::is_some) {
-            ctx.begin_stages();
+            ctx.record_stage_results();
             until.get_or_insert_with(|| Instant::now() + result_lifetime(ctx, service));
         }
         let Some(cause) = failure else { break };
         let detail = format!("id={} stage={stage} round={round} cause={cause:?}", ctx.request.id);
         emit(events::STAGE_FAILED, &ctx.shared.settings.instance, &detail);
         let is_final = round == MAX_RETRIES
-            || ctx.held_for().is_some()
+            || ctx.quarantine_left().is_some()
             || matches!(cause, NoResult::InputGone | NoResult::Late | NoResult::Overload(_));
-        if is_final || ctx.left_to_begin().is_zero() {
+        if is_final || ctx.time_to_begin().is_zero() {
             release_all(ctx, stage, handles);
             return Err(cause);
         }
@@ -264,8 +266,8 @@
     inputs: &[String],
 ) -> Vec<(Name, String)> {
     // Inputs are in the order of the stages that made them.
-    let makers_by_input = graph.needs(stage).flat_map(|needed| {
-        let count = graph.pieces(needed) as usize;
+    let makers_by_input = graph.dependencies(stage).flat_map(|needed| {
+        let count = graph.items(needed) as usize;
         std::iter::repeat_n(needed, count)
     });
     makers_by_input
@@ -286,10 +288,11 @@
     domain: &str,
 ) -> (String, u64) {
     let mut bytes: BTreeMap<String, u64> = BTreeMap::new();
-    if !graph.is_needed(stage) {
+    if !graph.has_dependents(stage) {
         *bytes.entry(domain.to_owned()).or_default() += ctx.route.stages[stage].bytes;
     }
-    let input_bytes = graph.needs(stage).map(|it| ctx.route.stages[it].bytes).max().unwrap_or(0);
+    let input_bytes =
+        graph.dependencies(stage).map(|it| ctx.route.stages[it].bytes).max().unwrap_or(0);
     add_places(ctx, &mut bytes, inputs, input_bytes);
     bytes.into_iter().max_by_key(|it| it.1).unwrap_or_default()
 }
@@ -301,7 +304,7 @@
     handles: &[String],
     bytes_each: u64,
 ) {
-    let makers = handles.iter().filter_map(|it| ctx.shared.target_at(wire::maker(it)?));
+    let makers = handles.iter().filter_map(|it| ctx.shared.target_at(wire::producer(it)?));
     makers.for_each(|it| *places.entry(it.domain).or_default() += bytes_each);
 }
 
@@ -309,7 +312,7 @@
 fn store_results(
     handles: &mut [Option<String>],
     missing: &[u32],
-    made: Vec<PieceResult>,
+    made: Vec<ItemResult>,
 ) -> Option<NoResult> {
     let mut failure = None;
     for (item, result) in missing.iter().zip(made) {
@@ -337,18 +340,18 @@
     graph: &StageGraph,
     stage: usize,
     item: u32,
-    source: PieceSource,
+    source: ItemSource,
     (domain, near_bytes): &(String, u64),
-) -> PieceAsk {
+) -> ItemRequest {
     let step = &ctx.route.stages[stage];
     let first_ms = first_event_ms(ctx);
     let after_ms = later_stages_ms(ctx, graph, stage) + first_ms;
-    let spent_ms = (ctx.arrived.elapsed() + ctx.asked_before).as_millis() as i64;
-    let left_ms = ctx.left_to_begin().as_millis() as Millis;
+    let spent_ms = (ctx.arrived.elapsed() + ctx.retry_elapsed).as_millis() as i64;
+    let left_ms = ctx.time_to_begin().as_millis() as Millis;
     let slack_ms = left_ms as i64 - after_ms as i64;
-    let due_in_ms = ctx.route.target_ms as i64 - after_ms as i64 - spent_ms;
-    PieceAsk {
-        work: PieceWork { request: ctx.request.id.clone(), stage, piece: item, source },
+    let due_in_ms = ctx.route.objective_ms as i64 - after_ms as i64 - spent_ms;
+    ItemRequest {
+        work: WorkItem { request: ctx.request.id.clone(), stage, item: item, source },
         route: ctx.route.name.clone(),
         // Requests admitted late yield to those that can meet their objective, at every stage.
         due_in_ms: if ctx.is_late() { 0 } else { due_in_ms },
@@ -359,7 +362,7 @@
         near_bytes: *near_bytes,
         deadline_in_ms: slack_ms,
         late_due_in_ms: Some(slack_ms / (1 + steps_after(graph, stage)) as i64),
-        is_refusable: !ctx.has_begun() && !ctx.is_late(),
+        is_refusable: !ctx.has_work_done() && !ctx.is_late(),
         inputs_for_ms: None,
         releasable: Vec::new(),
         confinement: Confinement::default(),
@@ -377,56 +380,57 @@
 
 /// The stages after the first one that is requested, and their time limits.
 fn later_stages(ctx: &Context, graph: &StageGraph, stage: usize) -> LaterStages {
-    let stages = graph.ahead(stage).into_iter().map(|(it, depth)| {
+    let stages = graph.all_dependents(stage).into_iter().map(|(it, depth)| {
         let service = &ctx.route.stages[it].service;
-        StageAhead {
+        LaterStage {
             service: service.clone(),
-            pieces: graph.pieces(it),
+            items: graph.items(it),
             depth,
-            usual_ms: usual_ms(ctx, service),
+            usual_ms: expected_stage_ms(ctx, service),
         }
     });
     let first_ms = first_event_ms(ctx) as i64;
-    let spent_ms = (ctx.arrived.elapsed() + ctx.asked_before).as_millis() as i64;
+    let spent_ms = (ctx.arrived.elapsed() + ctx.retry_elapsed).as_millis() as i64;
     LaterStages {
         stages: stages.collect(),
-        end_in_ms: ctx.route.target_ms as i64 - first_ms - spent_ms,
-        deadline_in_ms: ctx.left_to_begin().as_millis() as i64 - first_ms,
+        end_in_ms: ctx.route.objective_ms as i64 - first_ms - spent_ms,
+        deadline_in_ms: ctx.time_to_begin().as_millis() as i64 - first_ms,
         accepts_late: true,
     }
 }
 
 /// Expected time of a stage at a service, including its queue, in milliseconds.
-pub(crate) fn usual_ms(ctx: &Context, service: &str) -> Millis {
-    let stated = stage_ms(ctx, service);
+pub(crate) fn expected_stage_ms(ctx: &Context, service: &str) -> Millis {
+    let stated = nominal_stage_ms(ctx, service);
     ctx.shared.pools.of(ctx.shared.clock.now(), service).stage_ms(ctx.shared.clock.now(), stated)
 }
 
 /// Expected time of all stages of a request along the longest chain, in milliseconds.
-pub(crate) fn usual_total_ms(ctx: &Context) -> Millis {
-    let graph = StageGraph::new(&ctx.route.stages, &ctx.head.pieces);
+pub(crate) fn expected_total_ms(ctx: &Context) -> Millis {
+    let graph = StageGraph::new(&ctx.route.stages, &ctx.head.item_counts);
     let total = |stage: usize| {
-        usual_ms(ctx, &ctx.route.stages[stage].service) + later_stages_ms(ctx, &graph, stage)
+        expected_stage_ms(ctx, &ctx.route.stages[stage].service)
+            + later_stages_ms(ctx, &graph, stage)
     };
-    (0..graph.len()).filter(|it| graph.pieces(*it) != 0).map(total).max().unwrap_or(0)
+    (0..graph.len()).filter(|it| graph.items(*it) != 0).map(total).max().unwrap_or(0)
 }
 
 /// Expected time of the stages that follow a stage, along the longest chain, in milliseconds.
 fn later_stages_ms(ctx: &Context, graph: &StageGraph, stage: usize) -> Millis {
-    let later = graph
-        .after(stage)
-        .map(|it| usual_ms(ctx, &ctx.route.stages[it].service) + later_stages_ms(ctx, graph, it));
+    let later = graph.dependents(stage).map(|it| {
+        expected_stage_ms(ctx, &ctx.route.stages[it].service) + later_stages_ms(ctx, graph, it)
+    });
     later.max().unwrap_or(0)
 }
 
 /// Number of steps that follow a stage along the longest chain, including the request's own service.
 fn steps_after(graph: &StageGraph, stage: usize) -> usize {
-    1 + graph.after(stage).map(|it| steps_after(graph, it)).max().unwrap_or(0)
+    1 + graph.dependents(stage).map(|it| steps_after(graph, it)).max().unwrap_or(0)
 }
 
 /// Time of a stage at a service without a queue, in milliseconds.
-pub(crate) fn stage_ms(ctx: &Context, service: &str) -> Millis {
+pub(crate) fn nominal_stage_ms(ctx: &Context, service: &str) -> Millis {
     let configuration = ctx.shared.configuration();
     let limits = configuration.services.get(service).and_then(|it| it.batches.as_ref());
-    limits.map_or(DEFAULT_STAGE_MS, |it| (1.5 * it.call_ms + 4.0 * it.piece_ms) as Millis)
+    limits.map_or(DEFAULT_STAGE_MS, |it| (1.5 * it.call_ms + 4.0 * it.item_ms) as Millis)
 }
