--- a/crates/holdpointd/src/ingress/store.rs
+++ b/crates/holdpointd/src/ingress/store.rs
@@ -5,10 +5,10 @@
 
 use bytes::{Bytes, BytesMut};
 use holdpoint_adapter::store::{
-    KeyedRecord, ReadPage, append_at_path, append_body, append_path, era, newest_path,
+    KeyedRecord, ReadPage, append_at_path, append_body, append_path, epoch, newest_path,
     parse_newest, parse_read, read_path,
 };
-use holdpoint_core::era::{Era, Heard, Position, SETTLE_MS, heard};
+use holdpoint_core::era::{Epoch, EpochOrder, Position, SETTLE_MS, compare_epochs};
 use holdpoint_platform::Instant;
 use http::{HeaderValue, Method, Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
@@ -37,27 +37,27 @@
 
 /// The newest epoch of the store that the store or a peer has reported.
 #[derive(Debug, Default)]
-pub(crate) struct Eras {
-    newest: Mutex<Option<Era>>,
+pub(crate) struct StoreEpochs {
+    newest: Mutex<Option<Epoch>>,
     /// Time of the last increase.
     increases: watch::Sender<Option<Instant>>,
 }
 
-impl Eras {
+impl StoreEpochs {
     /// The newest epoch.
-    pub(crate) fn newest(&self) -> Option<Era> {
+    pub(crate) fn newest(&self) -> Option<Epoch> {
         *self.newest.lock()
     }
 
     /// Records the epoch of a response, and returns how it compares with the newest known one.
-    pub(crate) fn hear(&self, reported: Option<Era>) -> Heard {
+    pub(crate) fn observe(&self, reported: Option<Epoch>) -> EpochOrder {
         let mut newest = self.newest.lock();
-        let heard = heard(*newest, reported);
-        if heard == Heard::Risen || newest.is_none() {
+        let heard = compare_epochs(*newest, reported);
+        if heard == EpochOrder::Newer || newest.is_none() {
             *newest = reported;
         }
         drop(newest);
-        if heard == Heard::Risen {
+        if heard == EpochOrder::Newer {
             self.increases.send_replace(Some(Instant::now()));
         }
         heard
@@ -80,9 +80,9 @@
     address: String,
     timeout: Duration,
     connection: Option<(SendRequest<Full<Bytes>>, AbortOnDrop)>,
-    eras: Arc<Eras>,
+    eras: Arc<StoreEpochs>,
     /// Epoch of the last response.
-    epoch: Option<Era>,
+    epoch: Option<Epoch>,
 }
 
 /// Aborts the connection's task when dropped.
@@ -96,7 +96,7 @@
 
 impl StoreClient {
     /// Creates a client that connects with its first call.
-    pub(crate) fn new(address: &str, timeout: Duration, eras: Arc<Eras>) -> StoreClient {
+    pub(crate) fn new(address: &str, timeout: Duration, eras: Arc<StoreEpochs>) -> StoreClient {
         StoreClient { address: address.to_owned(), timeout, connection: None, eras, epoch: None }
     }
 
@@ -111,7 +111,7 @@
 
     /// A position in a topic, in the epoch of the last response.
     pub(crate) fn position(&self, offset: u64) -> Position {
-        Position { era: self.epoch, offset }
+        Position { epoch: self.epoch, offset }
     }
 
     /// Closes the connection; the next call opens a new one.
@@ -208,7 +208,7 @@
         };
         let answer = tokio::time::timeout(limit, answering).await.map_err(silent)??;
         let status = answer.status();
-        self.check_epoch(era(answer.headers()))?;
+        self.check_epoch(epoch(answer.headers()))?;
         let body = whole_body(answer.into_body(), timeout).await?;
         self.connection = connection;
         match status {
@@ -222,13 +222,13 @@
 impl StoreClient {
     /// Records the epoch of a response; fails if earlier reads, or this response, do not reflect the store's
     /// current state.
-    fn check_epoch(&mut self, reported: Option<Era>) -> Result<(), StoreError> {
-        if self.eras.hear(reported) == Heard::Over {
+    fn check_epoch(&mut self, reported: Option<Epoch>) -> Result<(), StoreError> {
+        if self.eras.observe(reported) == EpochOrder::Older {
             return Err(StoreError::Over);
         }
-        let heard = heard(self.epoch, reported);
+        let heard = compare_epochs(self.epoch, reported);
         self.epoch = reported.or(self.epoch);
-        if heard == Heard::Risen { Err(StoreError::Returned) } else { Ok(()) }
+        if heard == EpochOrder::Newer { Err(StoreError::Returned) } else { Ok(()) }
     }
 }
 
--- a/crates/holdpointd/src/ingress/stream.rs
+++ b/crates/holdpointd/src/ingress/stream.rs
@@ -11,8 +11,8 @@
     directory::TargetInstance,
     event_split::{EventSplitter, WholeEvent},
     ids::Millis,
-    ingress::Shape,
-    route::End,
+    ingress::ResponseKind,
+    route::CallOutcome,
     stage_graph::NoResult,
 };
 use holdpoint_platform::Instant;
@@ -27,12 +27,12 @@
         attempts::{Attempts, StopCause, end_send, likely_domain},
         connections::Connection,
         context::Context,
-        gate::Barred,
-        held::Results,
+        gate::SendBlock,
+        held::StageResults,
         limits::Permit,
         send::{BACKOFF_CAUSE, SendOutcome, asks_backoff, send},
-        stages::{self, FETCHED},
-        unread::{Keeper, NotPassed},
+        stages::{self, INPUT_FETCH_TIME},
+        unread::{ChunkSender, DeliveryError},
     },
 };
 
@@ -74,7 +74,7 @@
     Failed(Box<Parts>, Bytes),
     NotSent,
     /// The gate refused the send.
-    Blocked(Barred),
+    Blocked(SendBlock),
     Declined,
     /// The target declined the request and asked this instance to back off.
     BackedOff,
@@ -101,8 +101,8 @@
     let opened = tokio::select! {
         it = open(&ctx, &mut attempts, None) => it,
         () = ctx.deadline_passed() => Err(OpenError::Stopped(StopCause::Time)),
-        () = ctx.is_held() => Err(OpenError::Stopped(StopCause::Quarantined)),
-        () = ctx.shared.stop_nears() => Err(OpenError::Stopped(StopCause::Stopping)),
+        () = ctx.wait_quarantined() => Err(OpenError::Stopped(StopCause::Quarantined)),
+        () = ctx.shared.wait_for_final_answers() => Err(OpenError::Stopped(StopCause::Stopping)),
     };
     match opened {
         Ok(it) => {
@@ -119,11 +119,11 @@
             passed_on(&parts, body)
         }
         Err(OpenError::Stopped(cause)) => {
-            ctx.give_up(cause.name(), cause.retry_after(MIN_RETRY_AFTER))
+            ctx.final_answer(cause.name(), cause.retry_after(MIN_RETRY_AFTER))
         }
-        Err(OpenError::NoResults(cause)) => ctx.give_up(cause, MIN_RETRY_AFTER),
-        Err(OpenError::Overload(it)) => ctx.give_up("overload", it.max(MIN_RETRY_AFTER)),
-        Err(OpenError::CallerGone) => ctx.give_up("caller-gone", MIN_RETRY_AFTER),
+        Err(OpenError::NoResults(cause)) => ctx.final_answer(cause, MIN_RETRY_AFTER),
+        Err(OpenError::Overload(it)) => ctx.final_answer("overload", it.max(MIN_RETRY_AFTER)),
+        Err(OpenError::CallerGone) => ctx.final_answer("caller-gone", MIN_RETRY_AFTER),
     }
 }
 
@@ -144,7 +144,7 @@
         let ended = if results.match_bounds(&ctx.within()) {
             attempt(ctx, attempts, (&target, permit), last_event, &mut results).await
         } else {
-            end_send(ctx, &target, End::Dropped, "bounds-changed");
+            end_send(ctx, &target, CallOutcome::Cancelled, "bounds-changed");
             SendEnd::InputsGone
         };
         match ended {
@@ -172,9 +172,9 @@
     }
 }
 
-async fn stage_results(ctx: &Context) -> Result<Results, OpenError> {
+async fn stage_results(ctx: &Context) -> Result<StageResults, OpenError> {
     let domain = likely_domain(ctx).map_err(OpenError::Stopped)?;
-    stages::make_all(ctx, &domain).await.map_err(|it| match it {
+    stages::run_stages(ctx, &domain).await.map_err(|it| match it {
         NoResult::Overload(ms) => OpenError::Overload(Duration::from_millis(ms)),
         NoResult::Late => OpenError::NoResults("stages-late"),
         _ => OpenError::NoResults("stages"),
@@ -186,7 +186,7 @@
     attempts: &Attempts,
     (target, permit): (&TargetInstance, Permit),
     last_event: Option<&str>,
-    results: &mut Results,
+    results: &mut StageResults,
 ) -> SendEnd {
     let Some(begun) = ctx.ledger.begin() else { return SendEnd::Broken };
     let limit = first_event_timeout(ctx, attempts);
@@ -196,31 +196,31 @@
     match &ended {
         SendEnd::Open(it) => ctx.record_first_event(it.first_ms),
         SendEnd::Failed(parts, _) if asks_backoff(parts) => {
-            end_send(ctx, target, End::Dropped, BACKOFF_CAUSE);
+            end_send(ctx, target, CallOutcome::Cancelled, BACKOFF_CAUSE);
         }
-        SendEnd::Failed(..) => end_send(ctx, target, End::Failed, "target-failed"),
+        SendEnd::Failed(..) => end_send(ctx, target, CallOutcome::Failed, "target-failed"),
         SendEnd::NotSent => {
             begun.never_sent();
-            end_send(ctx, target, End::Failed, "not-sent");
+            end_send(ctx, target, CallOutcome::Failed, "not-sent");
         }
         SendEnd::Blocked(it) => {
             begun.never_sent();
-            end_send(ctx, target, End::Dropped, it.name());
+            end_send(ctx, target, CallOutcome::Cancelled, it.name());
         }
         SendEnd::Declined => {
             begun.declined();
-            end_send(ctx, target, End::Failed, "declined");
+            end_send(ctx, target, CallOutcome::Failed, "declined");
         }
         SendEnd::BackedOff => {
             begun.declined();
-            end_send(ctx, target, End::Dropped, BACKOFF_CAUSE);
+            end_send(ctx, target, CallOutcome::Cancelled, BACKOFF_CAUSE);
         }
         SendEnd::InputsGone => {
             begun.declined();
-            end_send(ctx, target, End::Dropped, "inputs-gone");
+            end_send(ctx, target, CallOutcome::Cancelled, "inputs-gone");
         }
-        SendEnd::Broken => end_send(ctx, target, End::Failed, "broken"),
-        SendEnd::TimedOut => end_send(ctx, target, End::Failed, "silent"),
+        SendEnd::Broken => end_send(ctx, target, CallOutcome::Failed, "broken"),
+        SendEnd::TimedOut => end_send(ctx, target, CallOutcome::Failed, "silent"),
     }
     ended
 }
@@ -231,7 +231,7 @@
     ctx: &Context,
     (target, permit): (&TargetInstance, Permit),
     last_event: Option<&str>,
-    results: &mut Results,
+    results: &mut StageResults,
 ) -> SendEnd {
     let inputs = results.inputs.clone();
     let sending = send_stream(ctx, (target, permit), last_event, &inputs);
@@ -241,7 +241,7 @@
     }
     tokio::select! {
         it = &mut sending => it,
-        () = tokio::time::sleep(FETCHED) => {
+        () = tokio::time::sleep(INPUT_FETCH_TIME) => {
             results.release();
             sending.await
         }
@@ -281,7 +281,7 @@
             Next::Events(it) => (it, false),
             Next::End => (Vec::new(), true),
             Next::Broken => {
-                ctx.broke_off(target);
+                ctx.connection_broken(target);
                 return SendEnd::Broken;
             }
         };
@@ -320,7 +320,7 @@
     ctx: Context,
     mut attempts: Attempts,
     mut open_stream: Box<OpenStream>,
-    sink: Keeper,
+    sink: ChunkSender,
 ) {
     let mut last_id: Option<String> = ctx.head.last_event.clone();
     let status = open_stream.parts.status.as_u16();
@@ -329,30 +329,30 @@
         let first_ms = open_stream.first_ms;
         let forwarded = tokio::select! {
             it = forward(&ctx, &attempts, open_stream, &mut last_id, &sink) => it,
-            () = sink.closed() => Forwarded::Undelivered(NotPassed::Gone),
+            () = sink.closed() => Forwarded::Undelivered(DeliveryError::Disconnected),
             () = ctx.deadline_passed() => Forwarded::DeadlinePassed,
         };
         match forwarded {
             Forwarded::Whole => {
-                ctx.has_passed();
-                end_send(&ctx, &target, End::Whole(first_ms), "answered");
+                ctx.request_completed();
+                end_send(&ctx, &target, CallOutcome::Completed(first_ms), "answered");
                 ctx.record_end(status, "answered");
                 return;
             }
             Forwarded::Undelivered(why) => {
                 let cause = ctx.record_undelivered(why);
-                end_send(&ctx, &target, End::Dropped, cause);
+                end_send(&ctx, &target, CallOutcome::Cancelled, cause);
                 return break_off(&ctx, status, cause, &sink);
             }
             Forwarded::DeadlinePassed => {
-                end_send(&ctx, &target, End::Dropped, "time-over");
+                end_send(&ctx, &target, CallOutcome::Cancelled, "time-over");
                 return break_off(&ctx, status, "time-over", &sink);
             }
             Forwarded::Broken(cause) => {
                 if cause == BROKEN_CAUSE {
-                    ctx.broke_off(&target);
+                    ctx.connection_broken(&target);
                 }
-                end_send(&ctx, &target, End::Failed, cause);
+                end_send(&ctx, &target, CallOutcome::Failed, cause);
                 if !ctx.is_repeatable() {
                     return break_off(&ctx, status, cause, &sink);
                 }
@@ -368,7 +368,7 @@
                     target.id,
                     reopened.is_ok()
                 );
-                emit(events::STREAM_MOVED, &ctx.shared.settings.instance, &detail);
+                emit(events::STREAM_INTERRUPTED, &ctx.shared.settings.instance, &detail);
                 match reopened {
                     Ok(it) => open_stream = it,
                     Err(_) => return break_off(&ctx, status, cause, &sink),
@@ -378,7 +378,7 @@
     }
 }
 
-fn break_off(ctx: &Context, status: u16, cause: &'static str, sink: &Keeper) {
+fn break_off(ctx: &Context, status: u16, cause: &'static str, sink: &ChunkSender) {
     ctx.record_end(status, cause);
     sink.break_off();
 }
@@ -387,7 +387,7 @@
 enum Forwarded {
     Whole,
     Broken(&'static str),
-    Undelivered(NotPassed),
+    Undelivered(DeliveryError),
     DeadlinePassed,
 }
 
@@ -396,7 +396,7 @@
     attempts: &Attempts,
     open: Box<OpenStream>,
     last_id: &mut Option<String>,
-    sink: &Keeper,
+    sink: &ChunkSender,
 ) -> Forwarded {
     let OpenStream { head, mut body, connection, mut splitter, first, is_ended, .. } = *open;
     if let Err(it) = forward_events(first, last_id, sink).await {
@@ -427,7 +427,7 @@
 
 /// Ends a complete stream, and keeps its connection unless the target closes it.
 fn keep_connection(ctx: &Context, connection: Connection, head: &TargetHead) -> Forwarded {
-    if !head.closes {
+    if !head.is_closing {
         ctx.shared.connections.give_back(connection, head.idle_limit);
     }
     Forwarded::Whole
@@ -437,8 +437,8 @@
 async fn forward_events(
     events: Vec<WholeEvent>,
     last_id: &mut Option<String>,
-    sink: &Keeper,
-) -> Result<(), NotPassed> {
+    sink: &ChunkSender,
+) -> Result<(), DeliveryError> {
     if let Some(it) = events.iter().rev().find_map(|it| it.id.clone()) {
         *last_id = Some(it);
     }
@@ -467,8 +467,8 @@
 
 /// Timeout for the next event: the deadline where no other send may follow.
 fn gap_timeout(ctx: &Context, attempts: &Attempts) -> Duration {
-    match ctx.route.shape {
-        Shape::Events { gap_ms, .. } if ctx.is_repeatable() && attempts.may_repeat(ctx) => {
+    match ctx.route.response {
+        ResponseKind::Events { gap_ms, .. } if ctx.is_repeatable() && attempts.may_repeat(ctx) => {
             Duration::from_millis(gap_ms).mul_f64(GAP_FACTOR).max(MIN_GAP_TIMEOUT)
         }
         _ => ctx.left(),
--- a/crates/holdpointd/src/ingress/unread.rs
+++ b/crates/holdpointd/src/ingress/unread.rs
@@ -13,10 +13,10 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-use crate::ingress::answer::BrokenOff;
+use crate::ingress::answer::EndedEarly;
 
 /// Maximum number of bytes buffered for one response.
-pub(crate) const MOST_EACH: usize = 32 << 10;
+pub(crate) const MAX_RESPONSE_BYTES: usize = 32 << 10;
 /// Divisor of the machine's memory that gives the limit for the instance.
 const MEMORY_DIVISOR: usize = 8;
 /// How long a caller may read nothing while a limit is reached; shorter than the time after which a target
@@ -25,7 +25,7 @@
 
 /// Capacity of an instance for unread response data.
 #[derive(Clone, Debug)]
-pub(crate) struct Unread {
+pub(crate) struct UnreadBuffers {
     free: Arc<Semaphore>,
     capacity: usize,
 }
@@ -40,13 +40,13 @@
 
 /// Why data was not passed on to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotPassed {
+pub(crate) enum DeliveryError {
     /// The caller has disconnected.
-    Gone,
+    Disconnected,
     /// The caller has read nothing until the timeout.
-    Unread {
+    ReadTimeout {
         /// Bytes buffered for it.
-        kept: usize,
+        buffered: usize,
         /// Whether the limit reached was that of the instance.
         is_full: bool,
     },
@@ -54,68 +54,69 @@
 
 /// Sender of one response's data.
 #[derive(Clone, Debug)]
-pub(crate) struct Keeper {
-    chunks: mpsc::UnboundedSender<Result<Chunk, BrokenOff>>,
+pub(crate) struct ChunkSender {
+    chunks: mpsc::UnboundedSender<Result<Chunk, EndedEarly>>,
     of_answer: Arc<Semaphore>,
     of_instance: Arc<Semaphore>,
 }
 
-impl Unread {
+impl UnreadBuffers {
     /// Creates the buffer capacity of an instance whose machine has `memory_mb` mebibytes of memory.
-    pub(crate) fn new(memory_mb: f64) -> Unread {
-        let capacity = ((memory_mb * f64::from(1 << 20)) as usize / MEMORY_DIVISOR).max(MOST_EACH);
-        Unread { free: Arc::new(Semaphore::new(capacity)), capacity }
+    pub(crate) fn new(memory_mb: f64) -> UnreadBuffers {
+        let capacity =
+            ((memory_mb * f64::from(1 << 20)) as usize / MEMORY_DIVISOR).max(MAX_RESPONSE_BYTES);
+        UnreadBuffers { free: Arc::new(Semaphore::new(capacity)), capacity }
     }
 
     /// Bytes buffered for all callers.
-    pub(crate) fn kept(&self) -> usize {
+    pub(crate) fn buffered(&self) -> usize {
         self.capacity - self.free.available_permits()
     }
 
     /// Counts bytes as buffered until the returned permit is dropped; `None` if there is no room for them.
-    pub(crate) fn count(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
-        let bytes = bytes.min(MOST_EACH) as u32;
+    pub(crate) fn reserve(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
+        let bytes = bytes.min(MAX_RESPONSE_BYTES) as u32;
         self.free.clone().try_acquire_many_owned(bytes).ok()
     }
 
     /// Creates the buffer of one response: its sender, and the body for the caller.
     pub(crate) fn channel(
         &self,
-    ) -> (Keeper, impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> + use<>) {
+    ) -> (ChunkSender, impl Stream<Item = Result<Frame<Bytes>, EndedEarly>> + use<>) {
         let (chunks, received) = mpsc::unbounded_channel();
-        let of_answer = Arc::new(Semaphore::new(MOST_EACH));
-        let keeper = Keeper { chunks, of_answer, of_instance: self.free.clone() };
-        let frame = |it: Result<Chunk, BrokenOff>| it.map(|it| Frame::data(it.bytes));
+        let of_answer = Arc::new(Semaphore::new(MAX_RESPONSE_BYTES));
+        let keeper = ChunkSender { chunks, of_answer, of_instance: self.free.clone() };
+        let frame = |it: Result<Chunk, EndedEarly>| it.map(|it| Frame::data(it.bytes));
         (keeper, UnboundedReceiverStream::new(received).map(frame))
     }
 }
 
-impl Keeper {
+impl ChunkSender {
     /// Buffers data for the caller, waiting for room.
     ///
     /// # Errors
     ///
     /// Fails if the caller has disconnected or reads nothing until the timeout.
-    pub(crate) async fn send(&self, mut bytes: Bytes) -> Result<(), NotPassed> {
+    pub(crate) async fn send(&self, mut bytes: Bytes) -> Result<(), DeliveryError> {
         while !bytes.is_empty() {
-            let part = bytes.split_to(bytes.len().min(MOST_EACH));
+            let part = bytes.split_to(bytes.len().min(MAX_RESPONSE_BYTES));
             self.send_part(part).await?;
         }
         Ok(())
     }
 
-    async fn send_part(&self, bytes: Bytes) -> Result<(), NotPassed> {
+    async fn send_part(&self, bytes: Bytes) -> Result<(), DeliveryError> {
         let room = tokio::time::timeout(READ_TIMEOUT, self.room(bytes.len()));
         let (of_answer, of_instance) = tokio::select! {
             it = room => match it {
                 Ok(Some(it)) => it,
-                Ok(None) => return Err(NotPassed::Gone),
+                Ok(None) => return Err(DeliveryError::Disconnected),
                 Err(_) => return Err(self.unread(bytes.len())),
             },
-            () = self.chunks.closed() => return Err(NotPassed::Gone),
+            () = self.chunks.closed() => return Err(DeliveryError::Disconnected),
         };
         let chunk = Chunk { bytes, _of_answer: of_answer, _of_instance: of_instance };
-        self.chunks.send(Ok(chunk)).map_err(|_| NotPassed::Gone)
+        self.chunks.send(Ok(chunk)).map_err(|_| DeliveryError::Disconnected)
     }
 
     async fn room(&self, bytes: usize) -> Option<(OwnedSemaphorePermit, OwnedSemaphorePermit)> {
@@ -126,15 +127,15 @@
         Some((of_answer, of_instance))
     }
 
-    fn unread(&self, bytes: usize) -> NotPassed {
+    fn unread(&self, bytes: usize) -> DeliveryError {
         let free = self.of_answer.available_permits();
-        NotPassed::Unread { kept: MOST_EACH - free, is_full: bytes <= free }
+        DeliveryError::ReadTimeout { buffered: MAX_RESPONSE_BYTES - free, is_full: bytes <= free }
     }
 
     /// Ends the response early with an error.
     pub(crate) fn break_off(&self) {
         // A caller that has disconnected needs no error.
-        drop(self.chunks.send(Err(BrokenOff)));
+        drop(self.chunks.send(Err(EndedEarly)));
     }
 
     /// Waits until the caller has disconnected.
--- a/crates/holdpointd/src/ingress/watch.rs
+++ b/crates/holdpointd/src/ingress/watch.rs
@@ -15,7 +15,7 @@
 };
 use holdpoint_core::{
     directory::{Change, Directory, TargetId, TargetInstance},
-    era::{Era, LOST_TAIL_MS, Position},
+    era::{Epoch, LOST_TAIL_MS, Position},
     evacuation::{Evacuations, Order},
     ids::Millis,
 };
@@ -69,7 +69,7 @@
     /// Offset to continue from.
     next: u64,
     /// Epoch of the store in which they were read.
-    epoch: Option<Era>,
+    epoch: Option<Epoch>,
     /// Whether they are the newest records of all keys rather than those after the last read.
     is_snapshot: bool,
     /// Whether the store has recently returned from an older copy and may lack records that are being written
@@ -96,11 +96,11 @@
     // Without a response, the caller goes on with the configuration that it has.
     let mut client = client(shared);
     if let Ok((records, next)) = client.newest(OPERATORS_TOPIC).await {
-        let may_lack = shared.eras.is_settling();
-        let epoch = client.position(next).era;
+        let may_lack = shared.epochs.is_settling();
+        let epoch = client.position(next).epoch;
         let read = RecordBatch { records: &records, next, epoch, is_snapshot: true, may_lack };
         apply_orders(shared, &read);
-        shared.confirmation.note(begun);
+        shared.confirmation.record(begun);
     }
 }
 
@@ -108,17 +108,17 @@
 /// makes an instance ready.
 fn apply_orders(shared: &Arc<IngressShared>, read: &RecordBatch<'_>) {
     let orders: Vec<Order> = read.records.iter().filter_map(parse_order).collect();
-    let at = Position { era: read.epoch, offset: read.next };
+    let at = Position { epoch: read.epoch, offset: read.next };
     let newer = if read.is_snapshot {
         Evacuations::new(at, orders)
     } else {
         shared.domains.state().followed_by(read.next, &orders)
     };
-    rollouts::take_orders(shared, read.records, at, read.is_snapshot);
-    domains::take_over(shared, newer, "store");
+    rollouts::apply_order_records(shared, read.records, at, read.is_snapshot);
+    domains::apply_update(shared, newer, "store");
     for record in read.records {
         if let (CONFIGURATION_KEY, Some(value)) = (record.key.as_str(), &record.value) {
-            shared.offer_configuration(value, "store");
+            shared.apply_configuration(value, "store");
         }
     }
 }
@@ -142,14 +142,14 @@
         if shared.settings.first_start && shared.peers.is_seed() {
             read_until_quiet(&shared, &mut client, next).await;
         }
-        shared.peers.note_read();
+        shared.peers.mark_complete();
     }
     drop(client);
     shared.peers_known.send_replace(true);
     let apply = |read: &RecordBatch<'_>| {
         apply_peers(&shared, read.records, read.is_complete());
         if read.is_snapshot {
-            shared.peers.note_read();
+            shared.peers.mark_complete();
         }
     };
     follow_topic(&shared, INSTANCES_TOPIC, (PEERS_WAIT, PEERS_BATCH_DELAY), apply).await;
@@ -185,7 +185,7 @@
     // Measured once, so that the entry stays the same when it is written again.
     if shared.peers.store_ms().is_none() {
         let trip = client.measure_round_trip().await?;
-        shared.peers.note_store_trip(whole_millis(trip));
+        shared.peers.set_store_ms(whole_millis(trip));
     }
     let entry = shared.own_peer().entry();
     let appending = client.append(INSTANCES_TOPIC, &shared.settings.instance, entry.as_bytes());
@@ -196,16 +196,16 @@
 
 /// Writes records of this instance again that the store may have lost, whenever it returns from an older
 /// copy, until the task is dropped.
-pub(crate) async fn write_again(shared: Arc<IngressShared>) {
-    let mut increases = shared.eras.increases();
+pub(crate) async fn rewrite_records(shared: Arc<IngressShared>) {
+    let mut increases = shared.epochs.increases();
     // The sender lives as long as the instance.
     while increases.changed().await.is_ok() {
-        let detail = format!("era={}", shared.eras.newest().map_or(0, |it| it.0));
-        emit(events::STORE_RETURNED, &shared.settings.instance, &detail);
+        let detail = format!("era={}", shared.epochs.newest().map_or(0, |it| it.0));
+        emit(events::STORE_ROLLED_BACK, &shared.settings.instance, &detail);
         rollouts::store_returned(&shared);
         quarantine::store_returned(&shared);
         let written = shared.entry_written.load(Ordering::Acquire);
-        if shared.clock.now() < written + LOST_TAIL_MS && !shared.peers.is_leaving() {
+        if shared.clock.now() < written + LOST_TAIL_MS && !shared.peers.is_draining() {
             sleep(MAX_REWRITE_DELAY.mul_f64(rand::random())).await;
             append_with_retries(shared.clone()).await;
         }
@@ -233,7 +233,7 @@
 }
 
 /// Removes this instance's own entry.
-pub(crate) async fn leave_peers(shared: &IngressShared) {
+pub(crate) async fn remove_own_entry(shared: &IngressShared) {
     let mut client = client(shared);
     // If the removal fails, peers find out by their calls that the instance does not answer.
     let _ = client.append(INSTANCES_TOPIC, &shared.settings.instance, &[]).await;
@@ -351,7 +351,7 @@
             client.reset();
             wait_until_reading(&mut reading).await;
         }
-        if is_incomplete && !shared.eras.is_settling() {
+        if is_incomplete && !shared.epochs.is_settling() {
             (offset, is_incomplete) = (None, false);
         }
         let wait = if is_incomplete { wait.min(RETRY_DELAY) } else { wait };
@@ -369,9 +369,9 @@
         match outcome {
             Ok((records, next)) => {
                 let is_snapshot = offset.is_none();
-                let may_lack = is_snapshot && shared.eras.is_settling();
+                let may_lack = is_snapshot && shared.epochs.is_settling();
                 is_incomplete |= may_lack;
-                let epoch = client.position(next).era;
+                let epoch = client.position(next).epoch;
                 apply(&RecordBatch { records: &records, next, epoch, is_snapshot, may_lack });
                 offset = Some(next);
                 sleep(batch_delay).await;
@@ -417,7 +417,7 @@
         let now = shared.clock.now();
         let entries: Vec<_> = records.iter().filter_map(|it| read_entry(shared, it)).collect();
         shared.change_directory(|directory, changes| {
-            for id in directory.unnamed(&entries) {
+            for id in directory.missing_from(&entries) {
                 apply_removal(shared, directory, changes, id, lapse);
             }
             entries.into_iter().for_each(|it| changes.put(directory, now, it, "store"));
@@ -475,18 +475,18 @@
     let change = directory.lapse(&id, until);
     let detail = format!("target={id} kept_ms={} change={change:?}", until - now);
     emit(events::TARGET_LAPSED, &shared.settings.instance, &detail);
-    changes.note(id, change, "lapsed");
+    changes.record(id, change, "lapsed");
 }
 
 /// Removes targets whose lapsed entries were not written again in time.
 fn expire(shared: &IngressShared, directory: &mut Directory, changes: &mut TargetChanges) {
     for id in directory.expire(shared.clock.now()) {
-        changes.note(id, Change::Leaving, "lapsed");
+        changes.record(id, Change::Leaving, "lapsed");
     }
 }
 
 fn client(shared: &IngressShared) -> StoreClient {
     let store = &shared.settings.store;
     let timeout = Duration::from_millis(store.timeout_ms);
-    StoreClient::new(&store.address, timeout, shared.eras.clone())
+    StoreClient::new(&store.address, timeout, shared.epochs.clone())
 }
--- a/crates/holdpointd/src/ingress/whole.rs
+++ b/crates/holdpointd/src/ingress/whole.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use holdpoint_adapter::headers::TargetHead;
-use holdpoint_core::{directory::TargetInstance, ids::Millis, route::End, stage_graph::NoResult};
+use holdpoint_core::{
+    directory::TargetInstance, ids::Millis, route::CallOutcome, stage_graph::NoResult,
+};
 use holdpoint_platform::Instant;
 use http::response::Parts;
 use http_body_util::BodyExt;
@@ -15,11 +17,11 @@
     attempts::{Attempts, StopCause, end_send, likely_domain},
     connections::Connection,
     context::Context,
-    gate::Barred,
+    gate::SendBlock,
     limits::Permit,
     send::{BACKOFF_CAUSE, BodyRead, SHORT_BODY_BYTES, SendOutcome, asks_backoff, read_body, send},
     stages,
-    unread::Keeper,
+    unread::ChunkSender,
 };
 
 /// Fraction of the target time after which a repeatable request is sent to another target.
@@ -55,7 +57,7 @@
     Failed(Box<Parts>, Bytes),
     NotSent,
     /// The gate refused the send.
-    Blocked(Barred),
+    Blocked(SendBlock),
     Declined,
     /// The target declined the request and asked this instance to back off.
     BackedOff,
@@ -65,12 +67,12 @@
 
 /// Serves a request.
 pub(crate) async fn serve(ctx: Context) -> Answer {
-    let give_up = |why: StopCause| Outcome::Answer(ctx.give_up(why.name(), MIN_RETRY_AFTER));
+    let give_up = |why: StopCause| Outcome::Answer(ctx.final_answer(why.name(), MIN_RETRY_AFTER));
     let outcome = tokio::select! {
         it = answer(&ctx) => it,
         () = ctx.deadline_passed() => give_up(StopCause::Time),
-        () = ctx.is_held() => give_up(StopCause::Quarantined),
-        () = ctx.shared.stop_nears() => give_up(StopCause::Stopping),
+        () = ctx.wait_quarantined() => give_up(StopCause::Quarantined),
+        () = ctx.shared.wait_for_final_answers() => give_up(StopCause::Stopping),
     };
     match outcome {
         Outcome::Answer(it) => it,
@@ -85,7 +87,7 @@
 }
 
 /// Forwards an answer that is too long to be buffered, as fast as its caller reads it.
-async fn forward_rest(ctx: Context, long: Box<LongAnswer>, sink: Keeper) {
+async fn forward_rest(ctx: Context, long: Box<LongAnswer>, sink: ChunkSender) {
     let LongAnswer { target, head, parts, received, rest, connection, started } = *long;
     let forwarding = async {
         let forwarded = sink.send(received).await;
@@ -93,7 +95,7 @@
         let mut rest = rest;
         while let Some(frame) = rest.frame().await {
             let Ok(frame) = frame else {
-                ctx.broke_off(&target);
+                ctx.connection_broken(&target);
                 return Err("broken");
             };
             let forwarded = sink.send(frame.into_data().unwrap_or_default()).await;
@@ -109,16 +111,16 @@
     let status = parts.status.as_u16();
     match forwarded {
         Ok(()) => {
-            ctx.has_passed();
-            if !head.closes {
+            ctx.request_completed();
+            if !head.is_closing {
                 ctx.shared.connections.give_back(connection, head.idle_limit);
             }
             let ms = started.elapsed().as_millis() as Millis;
-            end_send(&ctx, &target, End::Whole(ms), "answered");
+            end_send(&ctx, &target, CallOutcome::Completed(ms), "answered");
             ctx.record_end(status, "answered");
         }
         Err(cause) => {
-            let end = if cause == "broken" { End::Failed } else { End::Dropped };
+            let end = if cause == "broken" { CallOutcome::Failed } else { CallOutcome::Cancelled };
             end_send(&ctx, &target, end, cause);
             ctx.record_end(status, cause);
             sink.break_off();
@@ -131,15 +133,15 @@
         Vec::new()
     } else {
         if let Err(it) = likely_domain(ctx) {
-            return Outcome::Answer(ctx.give_up(it.name(), it.retry_after(MIN_RETRY_AFTER)));
+            return Outcome::Answer(ctx.final_answer(it.name(), it.retry_after(MIN_RETRY_AFTER)));
         }
-        match tokio::time::timeout(ctx.left(), stages::make_all(ctx, "")).await {
+        match tokio::time::timeout(ctx.left(), stages::run_stages(ctx, "")).await {
             Ok(Ok(it)) => it.inputs,
             Ok(Err(NoResult::Overload(ms))) => {
                 let retry_after = Duration::from_millis(ms).max(MIN_RETRY_AFTER);
-                return Outcome::Answer(ctx.give_up("overload", retry_after));
+                return Outcome::Answer(ctx.final_answer("overload", retry_after));
             }
-            _ => return Outcome::Answer(ctx.give_up("stages", MIN_RETRY_AFTER)),
+            _ => return Outcome::Answer(ctx.final_answer("stages", MIN_RETRY_AFTER)),
         }
     };
     let mut attempts = Attempts::default();
@@ -172,7 +174,7 @@
             ctx.record_end(head.status.as_u16(), "target-failed");
             Outcome::Answer(passed_on(&head, body))
         }
-        None => Outcome::Answer(ctx.give_up(cause.name(), cause.retry_after(MIN_RETRY_AFTER))),
+        None => Outcome::Answer(ctx.final_answer(cause.name(), cause.retry_after(MIN_RETRY_AFTER))),
     }
 }
 
@@ -189,34 +191,34 @@
     let ms = started.elapsed().as_millis() as Millis;
     match sent {
         Err(_) => {
-            end_send(ctx, target, End::Failed, "silent");
+            end_send(ctx, target, CallOutcome::Failed, "silent");
             SendEnd::TimedOut
         }
         Ok(SendEnd::NotSent) => {
             begun.never_sent();
-            end_send(ctx, target, End::Failed, "not-sent");
+            end_send(ctx, target, CallOutcome::Failed, "not-sent");
             SendEnd::NotSent
         }
         Ok(SendEnd::Blocked(it)) => {
             begun.never_sent();
-            end_send(ctx, target, End::Dropped, it.name());
+            end_send(ctx, target, CallOutcome::Cancelled, it.name());
             SendEnd::Blocked(it)
         }
         Ok(SendEnd::Declined) => {
             begun.declined();
-            end_send(ctx, target, End::Failed, "declined");
+            end_send(ctx, target, CallOutcome::Failed, "declined");
             SendEnd::Declined
         }
         Ok(SendEnd::BackedOff) => {
             begun.declined();
-            end_send(ctx, target, End::Dropped, BACKOFF_CAUSE);
+            end_send(ctx, target, CallOutcome::Cancelled, BACKOFF_CAUSE);
             SendEnd::BackedOff
         }
         Ok(SendEnd::Answered(head, body)) => {
             ctx.record_first_byte();
-            ctx.has_passed();
+            ctx.request_completed();
             ctx.pool.times.lock().record(ctx.shared.clock.now(), ms);
-            end_send(ctx, target, End::Whole(ms), "answered");
+            end_send(ctx, target, CallOutcome::Completed(ms), "answered");
             SendEnd::Answered(head, body)
         }
         Ok(SendEnd::Long(it)) => {
@@ -226,11 +228,11 @@
         Ok(SendEnd::Failed(head, body)) => {
             // An occasional error answer says nothing about the target's health.
             let cause = if asks_backoff(&head) { BACKOFF_CAUSE } else { "target-failed" };
-            end_send(ctx, target, End::Dropped, cause);
+            end_send(ctx, target, CallOutcome::Cancelled, cause);
             SendEnd::Failed(head, body)
         }
         Ok(SendEnd::Broken | SendEnd::TimedOut) => {
-            end_send(ctx, target, End::Failed, "broken");
+            end_send(ctx, target, CallOutcome::Failed, "broken");
             SendEnd::Broken
         }
     }
@@ -266,7 +268,7 @@
                     SendEnd::Long(Box::new(long))
                 }
                 BodyRead::Broken => {
-                    ctx.broke_off(target);
+                    ctx.connection_broken(target);
                     SendEnd::Broken
                 }
             }
@@ -277,7 +279,7 @@
 /// Keeps the connection of a completely read answer, unless the request body may still be in transit.
 fn keep_connection(ctx: &Context, head: &TargetHead, is_success: bool, connection: Connection) {
     let is_sent = is_success || ctx.request.body.len() <= SHORT_BODY_BYTES;
-    if is_sent && !head.closes {
+    if is_sent && !head.is_closing {
         ctx.shared.connections.give_back(connection, head.idle_limit);
     }
 }
--- a/crates/holdpointd/src/instance.rs
+++ b/crates/holdpointd/src/instance.rs
@@ -28,7 +28,7 @@
     operators,
     peers::{self, PeerPool},
     settings::token_keys,
-    shared::{InFlight, Published, Shared, raised},
+    shared::{InFlight, Published, Shared, wait_until_set},
     traffic::{self, Traffic},
 };
 
@@ -59,7 +59,7 @@
 
 /// How a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum StopOutcome {
     /// All requests in flight finished.
     Drained,
     /// The drain limit passed with requests in flight; their streams were handed over.
@@ -149,9 +149,9 @@
 
     /// Stops as planned: first reports not ready, then takes no new requests, then waits until requests in
     /// flight end or their streams are handed over.
-    pub async fn stop(mut self) -> Ended {
+    pub async fn stop(mut self) -> StopOutcome {
         let timing = &self.shared.settings.timing;
-        self.shared.is_leaving.store(true, Ordering::Release);
+        self.shared.is_draining.store(true, Ordering::Release);
         tokio::time::sleep(Duration::from_millis(timing.linger_ms)).await;
         drop(self.shared.control.send(Input::Stop).await);
         let limit = Duration::from_millis(timing.drain_ms);
@@ -173,7 +173,7 @@
             drop(tokio::task::spawn_blocking(move || it.join()).await);
         }
         emit(events::STOPPED, &self.shared.settings.instance, "");
-        if is_drained { Ended::Drained } else { Ended::Cut }
+        if is_drained { StopOutcome::Drained } else { StopOutcome::Cut }
     }
 
     /// Stops at once, as if the process had crashed.
@@ -231,11 +231,11 @@
         peers: PeerPool::new(metrics.clone()),
         metrics,
         serve_until: AtomicU64::new(0),
-        is_leaving: AtomicBool::new(false),
+        is_draining: AtomicBool::new(false),
         in_flight: Arc::new(InFlight::default()),
         hand_over: watch::channel(false).0,
         traffic: Traffic::new(&settings),
-        calls: AtomicU64::new(1),
+        next_call: AtomicU64::new(1),
         settings,
         clock,
     }
@@ -266,7 +266,7 @@
             tokio::spawn(peers::serve(listener, sender, Arc::new(report), metrics));
             tokio::select! {
                 () = control::run(shared, advertise, inputs) => (),
-                () = raised(&mut killed) => (),
+                () = wait_until_set(&mut killed) => (),
             }
         });
         runtime.shutdown_background();
@@ -285,7 +285,7 @@
 ) -> tokio::task::JoinHandle<()> {
     runtime.spawn(async move {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-        let closed = async move { raised(&mut close).await };
+        let closed = async move { wait_until_set(&mut close).await };
         drop(axum::serve(listener, router).with_graceful_shutdown(closed).await);
     })
 }
--- a/crates/holdpointd/src/lib.rs
+++ b/crates/holdpointd/src/lib.rs
@@ -25,7 +25,7 @@
 mod traffic;
 
 pub use crate::{
-    instance::{Addresses, Ended, Instance, StartError},
+    instance::{Addresses, Instance, StartError, StopOutcome},
     shared::{Published, Shared},
     traffic::{BurnReport, Problem, ProblemKind, Report, TrialReport},
 };
--- a/crates/holdpointd/src/main.rs
+++ b/crates/holdpointd/src/main.rs
@@ -8,7 +8,7 @@
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use holdpointd::{
-    Ended, Instance,
+    Instance, StopOutcome,
     events::{self, emit},
     ingress::Ingress,
     settings,
@@ -85,8 +85,8 @@
         }
     };
     let code = match run(instance) {
-        Some(Ended::Drained) => codes.drained,
-        Some(Ended::Cut) => codes.cut,
+        Some(StopOutcome::Drained) => codes.drained,
+        Some(StopOutcome::Cut) => codes.cut,
         None => i32::from(CANNOT_START),
     };
     ExitCode::from(u8::try_from(code).unwrap_or(1))
@@ -134,13 +134,13 @@
     });
     runtime.shutdown_background();
     match ended {
-        Some(Ended::Drained | Ended::Cut) => ExitCode::SUCCESS,
+        Some(StopOutcome::Drained | StopOutcome::Cut) => ExitCode::SUCCESS,
         None => ExitCode::from(CANNOT_START),
     }
 }
 
 /// Runs until a signal requests a planned stop.
-fn run(instance: Instance) -> Option<Ended> {
+fn run(instance: Instance) -> Option<StopOutcome> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().ok()?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate()).ok()?;
--- a/crates/holdpointd/src/metrics.rs
+++ b/crates/holdpointd/src/metrics.rs
@@ -43,7 +43,7 @@
     /// Predicted time of stages and first events, in percent of the actual time.
     pub predicted_percent: Histogram<f64>,
     /// Work items in batched calls, by result.
-    pub pieces: Counter<u64>,
+    pub items: Counter<u64>,
     /// Repeated chunks that were dropped.
     pub dropped_chunks: Counter<u64>,
     /// Requests that were quarantined.
@@ -53,9 +53,9 @@
     /// Backoff requests from targets, by service.
     pub backoffs: Counter<u64>,
     /// Answers aborted because their callers did not read them, by route.
-    pub unread: Counter<u64>,
+    pub unread_answers: Counter<u64>,
     /// Discarded answers that belonged to other attempts.
-    pub crossed: Counter<u64>,
+    pub wrong_attempts: Counter<u64>,
     /// Generations resumed at their engine.
     pub resumes: Counter<u64>,
     /// Appends to the log, by stream.
@@ -112,16 +112,16 @@
                 )
                 .with_boundaries(PREDICTED_BOUNDS_PERCENT.to_vec())
                 .build(),
-            pieces: counter("holdpoint_pieces", "Work items in calls for results of stages by end"),
+            items: counter("holdpoint_pieces", "Work items in calls for results of stages by end"),
             quarantined: counter("holdpoint_quarantined", "Requests that were quarantined"),
             target_limits: counter("holdpoint_target_limits", "Changes of limits of targets"),
             backoffs: counter("holdpoint_backoffs", "Times that targets asked to back off"),
             dropped_chunks: counter("holdpoint_dropped_chunks", "Repeated chunks dropped"),
-            unread: counter(
+            unread_answers: counter(
                 "holdpoint_unread",
                 "Answers aborted as their callers did not read them",
             ),
-            crossed: counter("holdpoint_crossed", "Answers of other attempts dropped"),
+            wrong_attempts: counter("holdpoint_crossed", "Answers of other attempts dropped"),
             resumes: counter("holdpoint_resumes", "Generations resumed at their engine"),
             appends: counter("holdpoint_appends", "Appends to the log by stream"),
             log_bytes: counter("holdpoint_log_bytes", "Bytes to and from the log"),
@@ -140,7 +140,13 @@
     }
 
     /// Records the predicted and the actual time of a step, in milliseconds, by the load of its service.
-    pub fn predicted(&self, step: &str, load: &'static str, predicted_ms: f64, took_ms: f64) {
+    pub fn record_prediction(
+        &self,
+        step: &str,
+        load: &'static str,
+        predicted_ms: f64,
+        took_ms: f64,
+    ) {
         let percent = 100.0 * predicted_ms / took_ms.max(1.0);
         self.predicted_percent.record(percent, &[label("step", step), label("load", load)]);
     }
--- a/crates/holdpointd/src/operators/changes.rs
+++ b/crates/holdpointd/src/operators/changes.rs
@@ -44,7 +44,7 @@
         return Err(Refusal::Faults(found));
     }
     let Value::Object(spec) = value else { return Err(Refusal::UnknownKind) };
-    let found = check(&shared.now().catalog, parsed_kind, &spec);
+    let found = check(&shared.published().catalog, parsed_kind, &spec);
     if !found.is_empty() {
         return Err(Refusal::Faults(found));
     }
--- a/crates/holdpointd/src/operators/mod.rs
+++ b/crates/holdpointd/src/operators/mod.rs
@@ -112,7 +112,7 @@
     }
     let found = resources(&shared, &kind, None).await?;
     let items: Vec<_> = found.iter().map(|it| document(&kind, it)).collect();
-    Ok(Json(json!({ "offset": shared.now().offset, "items": items })).into_response())
+    Ok(Json(json!({ "offset": shared.published().offset, "items": items })).into_response())
 }
 
 async fn get_resource(
@@ -133,7 +133,7 @@
     headers: HeaderMap,
 ) -> Result<Response, Refusal> {
     operator(&shared, &headers)?;
-    Ok(Json(json!({ "instances": *shared.now().instances })).into_response())
+    Ok(Json(json!({ "instances": *shared.published().instances })).into_response())
 }
 
 async fn burn_report(
@@ -142,7 +142,7 @@
 ) -> Result<Response, Refusal> {
     operator(&shared, &headers)?;
     let report = merged_report(&shared).await;
-    let pipelines = report.burn_reports(&shared.now());
+    let pipelines = report.burn_reports(&shared.published());
     let (instances, silent) = (report.instances, report.silent);
     let document = json!({ "pipelines": pipelines, "instances": instances, "silent": silent });
     Ok(Json(document).into_response())
@@ -155,7 +155,7 @@
 ) -> Result<Response, Refusal> {
     operator(&shared, &headers)?;
     let report = merged_report(&shared).await;
-    let found = report.trial_report(&shared.now(), &name).ok_or(Refusal::NotFound)?;
+    let found = report.trial_report(&shared.published(), &name).ok_or(Refusal::NotFound)?;
     Ok(Json(found).into_response())
 }
 
@@ -165,7 +165,7 @@
 }
 
 async fn readiness(State(shared): State<Arc<Shared>>) -> Response {
-    let is_ready = shared.is_ready(&shared.now());
+    let is_ready = shared.is_ready(&shared.published());
     let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     (status, if is_ready { "ready\n" } else { "not ready\n" }).into_response()
 }
--- a/crates/holdpointd/src/operators/watch.rs
+++ b/crates/holdpointd/src/operators/watch.rs
@@ -13,7 +13,7 @@
 use crate::{
     control::{Input, WatchEvent, WatchStart},
     operators::{Refusal, ask_control},
-    shared::{Shared, raised},
+    shared::{Shared, wait_until_set},
 };
 
 /// Starts a watch on a kind from a version.
@@ -35,7 +35,7 @@
         .chain(stream::iter([Bytes::from_static(b"{\"error\":\"too-old\"}\n")]))
         .take_until(async move {
             // A stopping instance ends its watches; clients resume them at another instance.
-            raised(&mut hand_over).await;
+            wait_until_set(&mut hand_over).await;
         });
     let before: Vec<Bytes> = before.iter().map(line).collect();
     let lines = stream::iter(before).chain(later).map(Ok::<Bytes, Infallible>);
--- a/crates/holdpointd/src/peers.rs
+++ b/crates/holdpointd/src/peers.rs
@@ -62,7 +62,7 @@
 
 /// A call to a peer failed: no connection, an RPC error or a timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerSilent;
+pub struct PeerUnavailable;
 
 /// Connections to peers, opened on first use.
 #[derive(Clone)]
@@ -94,7 +94,7 @@
         address: &str,
         timeout: Duration,
         call: impl FnOnce(PeersClient, context::Context) -> F,
-    ) -> Result<T, PeerSilent>
+    ) -> Result<T, PeerUnavailable>
     where
         F: Future<Output = Result<T, RpcError>>,
     {
@@ -111,7 +111,7 @@
         address: &str,
         timeout: Duration,
         call: impl FnOnce(PeersClient, context::Context) -> F,
-    ) -> Result<T, PeerSilent>
+    ) -> Result<T, PeerUnavailable>
     where
         F: Future<Output = Result<T, RpcError>>,
     {
@@ -123,16 +123,16 @@
             return Ok(it);
         }
         self.clients.lock().remove(address);
-        Err(PeerSilent)
+        Err(PeerUnavailable)
     }
 
-    async fn client(&self, address: &str) -> Result<PeersClient, PeerSilent> {
+    async fn client(&self, address: &str) -> Result<PeersClient, PeerUnavailable> {
         if let Some(it) = self.clients.lock().get(address) {
             return Ok(it.clone());
         }
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
-        let stream = connect.await.map_err(|_| PeerSilent)?.map_err(|_| PeerSilent)?;
-        stream.set_nodelay(true).map_err(|_| PeerSilent)?;
+        let stream = connect.await.map_err(|_| PeerUnavailable)?.map_err(|_| PeerUnavailable)?;
+        stream.set_nodelay(true).map_err(|_| PeerUnavailable)?;
         let framed = framed(CountedStream { stream, metrics: self.metrics.clone() });
         let io = transport(framed, Cbor::default());
         let client = PeersClient::new(client::Config::default(), io).spawn();
--- a/crates/holdpointd/src/shared.rs
+++ b/crates/holdpointd/src/shared.rs
@@ -92,7 +92,7 @@
     /// threads check it themselves, since after a pause they may run before the control thread does.
     pub serve_until: AtomicU64,
     /// Whether a planned stop has begun.
-    pub is_leaving: AtomicBool,
+    pub is_draining: AtomicBool,
     /// Requests in flight.
     pub in_flight: Arc<InFlight>,
     /// Set to true when streams must be handed over.
@@ -100,12 +100,12 @@
     /// State of the traffic threads.
     pub traffic: Traffic,
     /// Next sequence number of a request.
-    pub calls: AtomicU64,
+    pub next_call: AtomicU64,
 }
 
 impl Shared {
     /// Current control state.
-    pub fn now(&self) -> Arc<Published> {
+    pub fn published(&self) -> Arc<Published> {
         self.published.load_full()
     }
 
@@ -117,12 +117,12 @@
 
     /// Whether the load balancer may send requests to this instance.
     pub fn is_ready(&self, published: &Published) -> bool {
-        !self.is_leaving.load(Ordering::Acquire) && self.may_serve(published)
+        !self.is_draining.load(Ordering::Acquire) && self.may_serve(published)
     }
 
     /// Takes the next sequence number of a request.
     pub fn next_call(&self) -> u64 {
-        self.calls.fetch_add(1, Ordering::Relaxed)
+        self.next_call.fetch_add(1, Ordering::Relaxed)
     }
 }
 
@@ -135,15 +135,15 @@
 
 /// Counts one request as in flight until dropped.
 #[derive(Debug)]
-pub struct Working {
+pub struct InFlightGuard {
     in_flight: Arc<InFlight>,
 }
 
 impl InFlight {
     /// Counts a request as in flight.
-    pub fn start(self: &Arc<Self>) -> Working {
+    pub fn start(self: &Arc<Self>) -> InFlightGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
-        Working { in_flight: self.clone() }
+        InFlightGuard { in_flight: self.clone() }
     }
 
     /// Number of requests in flight.
@@ -165,7 +165,7 @@
     }
 }
 
-impl Drop for Working {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.in_flight.count.fetch_sub(1, Ordering::AcqRel);
         self.in_flight.ended.notify_waiters();
@@ -182,19 +182,19 @@
 
 /// A map from names to values created on first use.
 #[derive(Debug)]
-pub(crate) struct Lazy<T> {
+pub(crate) struct LazyMap<T> {
     map: parking_lot::RwLock<HashMap<Name, Arc<T>>>,
 }
 
-impl<T> Default for Lazy<T> {
-    fn default() -> Lazy<T> {
-        Lazy { map: parking_lot::RwLock::default() }
+impl<T> Default for LazyMap<T> {
+    fn default() -> LazyMap<T> {
+        LazyMap { map: parking_lot::RwLock::default() }
     }
 }
 
-impl<T> Lazy<T> {
+impl<T> LazyMap<T> {
     /// Returns the value of a name and creates it if absent.
-    pub(crate) fn of(&self, name: &str, make: impl FnOnce() -> T) -> Arc<T> {
+    pub(crate) fn get_or_create(&self, name: &str, make: impl FnOnce() -> T) -> Arc<T> {
         if let Some(it) = self.map.read().get(name) {
             return it.clone();
         }
@@ -208,6 +208,6 @@
 }
 
 /// Waits until a flag is true or its sender is dropped.
-pub(crate) async fn raised(flag: &mut watch::Receiver<bool>) {
+pub(crate) async fn wait_until_set(flag: &mut watch::Receiver<bool>) {
     drop(flag.wait_for(|it| *it).await);
 }
--- a/crates/holdpointd/src/traffic/admission.rs
+++ b/crates/holdpointd/src/traffic/admission.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use holdpoint_core::{
-    admit::{Ask, Gate, Offer, Refusal, Signal, Ticket},
+    admit::{AdmissionRequest, Gate, Offer, Refusal, Signal, Ticket},
     ids::{Millis, Name},
 };
 use parking_lot::Mutex;
@@ -53,7 +53,7 @@
             let is_gone = waiter.is_none_or(|it| it.send(true).is_err());
             if is_gone {
                 // The waiting caller has disconnected; admit the next request.
-                tickets.extend(inner.gate.done(now, organisation, Signal::Silent));
+                tickets.extend(inner.gate.done(now, organisation, Signal::Unknown));
             }
         }
     }
@@ -69,12 +69,15 @@
 }
 
 /// Admits a request, now or after a wait, or refuses it.
-pub(crate) async fn admit(shared: &Arc<Shared>, ask: &Ask<'_>) -> Result<Admitted, Refused> {
+pub(crate) async fn admit(
+    shared: &Arc<Shared>,
+    ask: &AdmissionRequest<'_>,
+) -> Result<Admitted, Refused> {
     let admission = &shared.traffic.admission;
     let admitted = || Admitted {
         shared: shared.clone(),
         organisation: ask.organisation.to_owned(),
-        signal: Signal::Silent,
+        signal: Signal::Unknown,
     };
     let receiver = {
         let mut inner = admission.inner.lock();
--- a/crates/holdpointd/src/traffic/callers.rs
+++ b/crates/holdpointd/src/traffic/callers.rs
@@ -14,7 +14,7 @@
     routing::{get, post},
 };
 use holdpoint_core::{
-    admit::{Ask, Refusal},
+    admit::{AdmissionRequest, Refusal},
     burn::Cause,
     catalog::Versioned,
     claims::{BadKey, check_key},
@@ -30,7 +30,7 @@
 use serde_json::Value;
 
 use crate::{
-    shared::{Published, Shared, Working},
+    shared::{InFlightGuard, Published, Shared},
     traffic::{
         PipelineState,
         admission::admit,
@@ -59,7 +59,7 @@
 }
 
 async fn ready(State(shared): State<Arc<Shared>>) -> Response {
-    if shared.is_ready(&shared.now()) {
+    if shared.is_ready(&shared.published()) {
         "ready\n".into_response()
     } else {
         Problem::before_start(ProblemKind::NotReady).into_response()
@@ -119,7 +119,7 @@
     body: Body,
 ) -> Result<CheckedRequest, Problem> {
     let refuse = Problem::before_start;
-    let view = shared.now();
+    let view = shared.published();
     if !shared.may_serve(&view) {
         return Err(refuse(ProblemKind::NotReady).with_retry_after(1000));
     }
@@ -208,21 +208,21 @@
 async fn serve(
     shared: &Arc<Shared>,
     checked: CheckedRequest,
-    in_flight: Working,
+    in_flight: InFlightGuard,
 ) -> Result<Response, Problem> {
-    let state = shared.traffic.pipelines.of(&checked.pipeline, PipelineState::default);
+    let state = shared.traffic.pipelines.get_or_create(&checked.pipeline, PipelineState::default);
     let need = expected_ms(&state, &checked.graph.spec);
-    let ask = Ask {
+    let ask = AdmissionRequest {
         organisation: &checked.organisation,
         share: checked.share,
         cap: checked.cap,
         deadline: checked.deadline,
-        need,
+        service_ms: need,
     };
     let admitted = admit(shared, &ask).await.map_err(|it| {
         let kind = match it.reason {
             Refusal::OrganisationLimit => ProblemKind::OrganisationLimit,
-            Refusal::Hopeless => ProblemKind::DeadlineTooShort,
+            Refusal::DeadlineTooClose => ProblemKind::DeadlineTooShort,
             Refusal::Overload => ProblemKind::Overload,
         };
         let cause = Cause { stage: String::new(), target: String::new(), kind: kind.name().into() };
--- a/crates/holdpointd/src/traffic/claim.rs
+++ b/crates/holdpointd/src/traffic/claim.rs
@@ -132,6 +132,6 @@
 
 fn writer(shared: &Shared, key: &ClaimKey) -> Option<String> {
     let stream = stream_of(key, shared.settings.claims.streams) as usize;
-    let writer = shared.now().claim_writers.get(stream).cloned().flatten();
+    let writer = shared.published().claim_writers.get(stream).cloned().flatten();
     writer.filter(|it| !shared.peers.is_suspect(it))
 }
--- a/crates/holdpointd/src/traffic/generate.rs
+++ b/crates/holdpointd/src/traffic/generate.rs
@@ -8,7 +8,7 @@
 use holdpoint_core::{
     assemble::{Assembler, Progress},
     ids::AttemptId,
-    token::{Place, seal},
+    token::{StreamPosition, seal},
 };
 use holdpoint_platform::{
     CallError,
@@ -20,7 +20,7 @@
 
 use crate::{
     metrics::label,
-    shared::{Shared, raised},
+    shared::{Shared, wait_until_set},
     traffic::{
         job::{Sink, StreamEvent},
         stage::{AttemptError, AttemptResult, StageRun},
@@ -36,7 +36,7 @@
 pub(crate) struct ChunkForwarder<'a> {
     pub(crate) shared: &'a Shared,
     pub(crate) sink: Option<&'a Sink>,
-    pub(crate) place: Place,
+    pub(crate) place: StreamPosition,
 }
 
 /// A complete generation.
@@ -63,7 +63,7 @@
         Ok(it) => it,
         Err(it) => return AttemptResult { result: Err(AttemptError::Call(it)), info },
     };
-    let place = Place {
+    let place = StreamPosition {
         organisation: job.organisation.clone(),
         pipeline: job.pipeline.clone(),
         request: job.request.clone(),
@@ -117,7 +117,7 @@
             };
             let event = tokio::select! {
                 event = tokio::time::timeout_at(deadline, stream.next()) => Some(event),
-                () = raised(&mut hand_over), if self.sink.is_some() => None,
+                () = wait_until_set(&mut hand_over), if self.sink.is_some() => None,
             };
             let Some(event) = event else { return Err(self.send_moved().await) };
             match event {
@@ -137,7 +137,7 @@
                 res.text.push_str(&text);
                 self.send_chunk(index, text).await?;
             }
-            if assembler.progress() == Progress::Whole {
+            if assembler.progress() == Progress::Complete {
                 res.chunks = assembler.next_index();
                 self.shared.metrics.dropped_chunks.add(assembler.dropped(), &[]);
                 return Ok(res);
--- a/crates/holdpointd/src/traffic/mod.rs
+++ b/crates/holdpointd/src/traffic/mod.rs
@@ -28,7 +28,7 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-use crate::shared::Lazy;
+use crate::shared::LazyMap;
 
 pub(crate) use crate::traffic::{
     admission::expire_waiting,
@@ -44,9 +44,9 @@
 #[derive(Debug)]
 pub struct Traffic {
     admission: admission::Admission,
-    pools: Lazy<PoolState>,
-    pipelines: Lazy<PipelineState>,
-    trials: Lazy<Mutex<BTreeMap<Name, ArmStats>>>,
+    pools: LazyMap<PoolState>,
+    pipelines: LazyMap<PipelineState>,
+    trials: LazyMap<Mutex<BTreeMap<Name, ArmStats>>>,
 }
 
 impl Traffic {
@@ -54,9 +54,9 @@
     pub fn new(settings: &Settings) -> Traffic {
         Traffic {
             admission: admission::Admission::new(settings.limits.concurrency as usize),
-            pools: Lazy::default(),
-            pipelines: Lazy::default(),
-            trials: Lazy::default(),
+            pools: LazyMap::default(),
+            pipelines: LazyMap::default(),
+            trials: LazyMap::default(),
         }
     }
 }
--- a/crates/holdpointd/src/traffic/report.rs
+++ b/crates/holdpointd/src/traffic/report.rs
@@ -62,7 +62,7 @@
 
 /// Report of this instance.
 pub(crate) fn local_report(shared: &Shared) -> Report {
-    let view = shared.now();
+    let view = shared.published();
     let now = shared.clock.now();
     let mut report =
         Report { instances: vec![shared.settings.instance.clone()], ..Report::default() };
@@ -79,7 +79,7 @@
 /// Report of this instance merged with those of all live peers.
 pub(crate) async fn merged_report(shared: &Arc<Shared>) -> Report {
     let mut report = local_report(shared);
-    let view = shared.now();
+    let view = shared.published();
     let calls = view.peers.iter().map(|peer| async move {
         let call = shared.peers.call(peer, PEER_TIMEOUT, |client, context| async move {
             client.report(context).await
--- a/crates/holdpointd/src/traffic/resume.rs
+++ b/crates/holdpointd/src/traffic/resume.rs
@@ -10,7 +10,7 @@
 };
 use holdpoint_core::{
     ids::AttemptId,
-    token::{Place, open},
+    token::{StreamPosition, open},
 };
 use holdpoint_schema::caller::Answer;
 use serde_json::json;
@@ -43,8 +43,12 @@
     }
 }
 
-fn read_place(shared: &Shared, request: &str, headers: &HeaderMap) -> Result<Place, Problem> {
-    let view = shared.now();
+fn read_place(
+    shared: &Shared,
+    request: &str,
+    headers: &HeaderMap,
+) -> Result<StreamPosition, Problem> {
+    let view = shared.published();
     if !shared.may_serve(&view) {
         return Err(resume_problem(ProblemKind::NotReady).with_retry_after(1000));
     }
@@ -65,7 +69,7 @@
     Problem::may_have_run(kind)
 }
 
-async fn stream(shared: Arc<Shared>, place: Place) -> Response {
+async fn stream(shared: Arc<Shared>, place: StreamPosition) -> Response {
     let (sink, events) = mpsc::channel(SINK_CAPACITY);
     let request = place.request.clone();
     let in_flight = shared.in_flight.start();
@@ -77,7 +81,7 @@
     sse::answer(ReceiverStream::new(events), closed).await
 }
 
-async fn forward(shared: &Shared, place: Place, sink: &Sink) {
+async fn forward(shared: &Shared, place: StreamPosition, sink: &Sink) {
     shared.metrics.resumes.add(1, &[label("by", "caller")]);
     let limit = Duration::from_millis(shared.settings.limits.max_patience_ms);
     let request = place.request.clone();
--- a/crates/holdpointd/src/traffic/running.rs
+++ b/crates/holdpointd/src/traffic/running.rs
@@ -14,7 +14,7 @@
 use crate::{
     events::{self, emit},
     metrics::label,
-    shared::{Shared, Working},
+    shared::{InFlightGuard, Shared},
     traffic::{
         admission::Admitted,
         claim::{self, Claim},
@@ -33,7 +33,7 @@
     claim: Option<Claim>,
     admitted: Admitted,
     /// Delays a planned stop until the request has ended.
-    _in_flight: Working,
+    _in_flight: InFlightGuard,
 }
 
 impl Running {
@@ -41,7 +41,7 @@
         job: Job,
         claim: Option<Claim>,
         admitted: Admitted,
-        in_flight: Working,
+        in_flight: InFlightGuard,
     ) -> Running {
         Running { job, claim, admitted, _in_flight: in_flight }
     }
@@ -84,7 +84,7 @@
         let shared = self.job.shared.clone();
         let attained = is_on_time && result.is_ok();
         if let Some(it) = &self.job.trial {
-            let stats = shared.traffic.trials.of(&it.trial, Default::default);
+            let stats = shared.traffic.trials.get_or_create(&it.trial, Default::default);
             stats.lock().entry(it.arm.clone()).or_default().add(attained, &costs);
         }
         let took = now.saturating_sub(self.job.arrived);
--- a/crates/holdpointd/src/traffic/stage.rs
+++ b/crates/holdpointd/src/traffic/stage.rs
@@ -9,8 +9,8 @@
     cold::Share,
     deadline::{Budget, budget},
     ids::{AttemptId, Millis},
-    ledger::Begun,
-    route::{Call, End, Load, NoTarget},
+    ledger::CallGuard,
+    route::{Call, CallOutcome, Load, NoTarget},
 };
 use holdpoint_platform::{
     CallError,
@@ -120,8 +120,11 @@
         let catalog = &job.view.catalog;
         let own = catalog.policy(&pool.policy);
         let settings = &job.shared.settings;
-        let state =
-            job.shared.traffic.pools.of(&stage.pool, || PoolState::new(settings, own.clone()));
+        let state = job
+            .shared
+            .traffic
+            .pools
+            .get_or_create(&stage.pool, || PoolState::new(settings, own.clone()));
         state.refresh(&members_of(&job.view.targets, &stage.pool), &own);
         let policy = job.trial.as_ref().map_or(own, |it| it.policy.clone());
         let prompt = (pool.kind == PoolKind::Engine).then(|| prompt(&inputs));
@@ -135,7 +138,7 @@
 
     async fn attempts(&self, sink: Option<&Sink>, cost: &mut u64) -> Result<StageDone, Failed> {
         let started = self.job.shared.clock.now();
-        self.state.retries.lock().first(self.policy.retry_percent);
+        self.state.retries.lock().record_first(self.policy.retry_percent);
         let mut tried: Vec<String> = Vec::new();
         let mut last = Fault::Late;
         for attempt in 0..MAX_ATTEMPTS {
@@ -157,7 +160,7 @@
                 Err(AttemptError::CallerGone) => return Err((address, Fault::CallerGone)),
                 Err(AttemptError::Call(error)) => {
                     last = Fault::Failed(error);
-                    if error.is_never_sent() {
+                    if error.is_unsent() {
                         if let Some(it) = begun {
                             it.never_sent();
                         }
@@ -183,7 +186,7 @@
         let later: Vec<Option<Millis>> = chain.iter().skip(1).map(|it| low(*it)).collect();
         match budget(self.job.remaining(), low(self.index), &later) {
             Budget::Use(it) => Some(it),
-            Budget::Hopeless { .. } => None,
+            Budget::TooLate { .. } => None,
         }
     }
 
@@ -241,7 +244,7 @@
     /// Records the attempt in the request's ledger if calls of this stage count; `None` if the
     /// ledger is closed.
     #[allow(clippy::option_option)]
-    fn begin(&self) -> Option<Option<Begun<'a>>> {
+    fn begin(&self) -> Option<Option<CallGuard<'a>>> {
         if !self.job.is_counted(self.index) {
             return Some(None);
         }
@@ -292,31 +295,33 @@
         let now = shared.clock.now();
         let took = now.saturating_sub(sent_at);
         let (end, name) = match attempted.result {
-            Ok(_) => (End::Whole(took), "whole"),
-            Err(AttemptError::Call(CallError::NotConnected)) => (End::Failed, "not-sent"),
-            Err(AttemptError::Call(_)) | Err(AttemptError::Cut) => (End::Failed, "failed"),
-            Err(AttemptError::Moved) | Err(AttemptError::CallerGone) => (End::Dropped, "dropped"),
+            Ok(_) => (CallOutcome::Completed(took), "whole"),
+            Err(AttemptError::Call(CallError::NotConnected)) => (CallOutcome::Failed, "not-sent"),
+            Err(AttemptError::Call(_)) | Err(AttemptError::Cut) => (CallOutcome::Failed, "failed"),
+            Err(AttemptError::Moved) | Err(AttemptError::CallerGone) => {
+                (CallOutcome::Cancelled, "dropped")
+            }
         };
         let labels = [label("pool", self.stage.pool.clone()), label("end", name)];
         shared.metrics.attempts.add(1, &labels);
         if attempted.result == Err(AttemptError::Call(CallError::Crossed)) {
-            shared.metrics.crossed.add(1, &[label("pool", self.stage.pool.clone())]);
-            emit(events::CROSSED, &shared.settings.instance, address);
+            shared.metrics.wrong_attempts.add(1, &[label("pool", self.stage.pool.clone())]);
+            emit(events::WRONG_ATTEMPT, &shared.settings.instance, address);
         }
         let mut router = self.state.router.lock();
         router.ended(now, address, self.units, end);
         if let Some(it) = &attempted.info.load {
             self.job.record_load(it);
             let load = Load { running: it.running, waiting: it.waiting, pace_percent: None };
-            router.report(now, address, load);
+            router.apply_report(now, address, load);
         }
         if attempted.info.is_draining {
-            router.leave(address);
+            router.drain(address);
             drop(router);
             let incarnation = attempted.info.incarnation.clone().unwrap_or_default();
             let notice = LeavingTarget { address: address.to_owned(), incarnation };
             // A full channel drops this notice only; the target's next response repeats it.
-            drop(shared.control.try_send(Input::TargetLeaving(notice)));
+            drop(shared.control.try_send(Input::TargetDraining(notice)));
         }
         match attempted.info.cost_ms {
             0 if attempted.result.is_err() => took,
--- a/crates/holdpointd/tests/confinement.rs
+++ b/crates/holdpointd/tests/confinement.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 
 use holdpoint_adapter_standin::{
-    Behaviour, CallerRequest, Gate, Target, call, confine_organisation, confine_route,
+    Behaviour, CallerRequest, Endpoint, Target, call, confine_organisation, confine_route,
     sample_configuration, set_stages,
 };
 use holdpointd::ingress::Ingress;
 use http::StatusCode;
 use serde_json::Value;
 
-use crate::support::{System, header, start_at, start_in, story, until};
+use crate::support::{System, event_stream, header, start_in_region, start_with_domains, until};
 
 /// The sample configuration with some routes, given by index, and the organisation confined to regions.
 fn confined(version: u64, routes: &[(usize, &[&str])], organisation: Option<&[&str]>) -> Value {
@@ -36,7 +36,8 @@
 /// Starts an instance in region east. The first target of each service is in east, the others are in north.
 async fn two_regions(plain: &[Behaviour], engines: &[Behaviour]) -> System {
     let domain = |index| if index == 0 { "z1" } else { "z2" };
-    start_at(|gate| start_in("a", "east", "z1", gate), domain, plain, engines).await
+    start_with_domains(|gate| start_in_region("a", "east", "z1", gate), domain, plain, engines)
+        .await
 }
 
 async fn configure(system: &System, configuration: Value) {
@@ -105,8 +106,8 @@
 
 #[tokio::test]
 async fn a_target_whose_region_is_not_known_counts_as_outside() {
-    let start = |gate: &Gate| start_in("a", "east", "z1", gate);
-    let system = start_at(start, |_| "nowhere", &[Behaviour::Answer], &[]).await;
+    let start = |gate: &Endpoint| start_in_region("a", "east", "z1", gate);
+    let system = start_with_domains(start, |_| "nowhere", &[Behaviour::Answer], &[]).await;
     configure(&system, confined(2, &[(SAFE, &["east", "north"])], None)).await;
     let answer = system.ask("r-1", "/safe/").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -120,7 +121,7 @@
     let far = encoder_in(&system, "i-encode-2", "z2").await;
     configure(&system, confined(2, &[(STAGED, &["north"])], None)).await;
     for id in 0..10 {
-        let request = CallerRequest::new(&format!("r-{id}"), "/staged/").with_pieces("2,1");
+        let request = CallerRequest::new(&format!("r-{id}"), "/staged/").with_items("2,1");
         assert_eq!(system.send(request).await.status, StatusCode::OK);
     }
     assert_eq!(system.encoder.batches().len(), 0);
@@ -129,7 +130,7 @@
     let before = far.batches().len();
     system.store.drop_target("i-encode-2");
     until(|| system.instance.target_count() == 3).await;
-    let answer = system.send(CallerRequest::new("r-x", "/staged/").with_pieces("1,1")).await;
+    let answer = system.send(CallerRequest::new("r-x", "/staged/").with_items("1,1")).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!header(&answer, "retry-after").is_empty());
     assert_eq!((far.batches().len(), system.encoder.batches().len()), (before, 0));
@@ -141,14 +142,14 @@
     let system = two_regions(&[], &engines).await;
     configure(&system, confined(2, &[(STORY, &["north"])], None)).await;
     let answer = system.ask("r-1", "/story/").await;
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert_eq!(system.engines[0].runs().len(), 0);
     configure(&system, confined(3, &[(STORY, &["north", "east"])], None)).await;
     until(|| system.engines[1].runs().len() == 1).await;
     for id in 0..20 {
         let answer = system.ask(&format!("s-{id}"), "/story/").await;
-        assert!(answer.is_whole);
-        assert_eq!(answer.body, story(0, 4));
+        assert!(answer.is_complete);
+        assert_eq!(answer.body, event_stream(0, 4));
     }
 }
 
@@ -156,9 +157,9 @@
 #[tokio::test]
 async fn queued_items_are_withdrawn_when_their_region_becomes_forbidden() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
-    system.encoder.set_behaviour(Behaviour::DeclinePieces);
-    let request = CallerRequest::new("r-1", "/staged/").with_pieces("1,1");
-    let callers = system.callers();
+    system.encoder.set_behaviour(Behaviour::DeclineItems);
+    let request = CallerRequest::new("r-1", "/staged/").with_items("1,1");
+    let callers = system.caller_address();
     let waiting = tokio::spawn(call(callers, request));
     until(|| system.encoder.declined() != 0).await;
     let before = system.encoder.batches().len();
@@ -182,9 +183,9 @@
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
     configure(&system, confined(2, &[(STAGED, &["east"])], None)).await;
     let far = encoder_in(&system, "i-encode-2", "z2").await;
-    system.encoder.set_behaviour(Behaviour::DeclinePieces);
-    let request = CallerRequest::new("r-1", "/staged/").with_pieces("1,1");
-    let callers = system.callers();
+    system.encoder.set_behaviour(Behaviour::DeclineItems);
+    let request = CallerRequest::new("r-1", "/staged/").with_items("1,1");
+    let callers = system.caller_address();
     let waiting = tokio::spawn(call(callers, request));
     until(|| system.encoder.declined() != 0).await;
     assert_eq!(far.batches().len(), 0);
@@ -194,20 +195,20 @@
     // Both stages, as the first is run again.
     assert_eq!(far.batches().len(), 2);
     assert_eq!((system.engines[0].runs().len(), system.engines[1].runs().len()), (0, 1));
-    until(|| !system.encoder.freed().is_empty()).await;
+    until(|| !system.encoder.released().is_empty()).await;
 }
 
 #[tokio::test]
 async fn confined_work_is_batched_and_placed_by_an_instance_of_its_regions() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
-    let gate = system.store.open_gate().await;
-    let north = start_in("b", "north", "z2", &gate);
+    let gate = system.store.open_endpoint().await;
+    let north = start_in_region("b", "north", "z2", &gate);
     let far = encoder_in(&system, "i-encode-2", "z2").await;
     let is_known = || system.instance.peer_count() == 1 && north.peer_count() == 1;
     until(|| is_known() && north.is_ready() && north.target_count() == 4).await;
     configure(&system, confined(2, &[(STAGED, &["north"]), (STORY, &["north"])], None)).await;
     until(|| north.version() == 2).await;
-    let staged = |id: &str| CallerRequest::new(id, "/staged/").with_pieces("1,1");
+    let staged = |id: &str| CallerRequest::new(id, "/staged/").with_items("1,1");
     let streamed = |id: &str| CallerRequest::new(id, "/story/").with_prompt("a1:1000,b2:100");
     for id in 0..5 {
         assert_eq!(system.send(staged(&format!("r-{id}"))).await.status, StatusCode::OK);
@@ -241,9 +242,9 @@
         configuration
     };
     configure(&system, with_graph(2, "east")).await;
-    system.encoder.set_behaviour(Behaviour::DeclinePieces);
-    let request = CallerRequest::new("r-1", "/staged/").with_pieces("1,1,1,1");
-    let callers = system.callers();
+    system.encoder.set_behaviour(Behaviour::DeclineItems);
+    let request = CallerRequest::new("r-1", "/staged/").with_items("1,1,1,1");
+    let callers = system.caller_address();
     let waiting = tokio::spawn(call(callers, request));
     until(|| system.encoder.declined() != 0).await;
     configure(&system, with_graph(3, "north")).await;
@@ -254,7 +255,7 @@
         4,
         "every stage runs in the allowed region"
     );
-    until(|| system.encoder.freed().len() == 2).await;
+    until(|| system.encoder.released().len() == 2).await;
 }
 
 #[tokio::test]
@@ -267,7 +268,7 @@
     let mut configuration = confined(2, &[(STAGED, &["north"])], None);
     set_stages(&mut configuration, STAGED, &[("encode", &[]), ("check", &[0])]);
     configure(&system, configuration).await;
-    let staged = |id, items| system.send(CallerRequest::new(id, "/staged/").with_pieces(items));
+    let staged = |id, items| system.send(CallerRequest::new(id, "/staged/").with_items(items));
     let answer = staged("r-1", "1,1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(header(&answer, "retry-after"), "1.00");
@@ -283,8 +284,8 @@
 async fn confined_work_is_not_handed_to_a_peer_without_confinement() {
     let system = two_regions(&[], &[Behaviour::Events(2); 2]).await;
     let far = encoder_in(&system, "i-encode-2", "z2").await;
-    let gate = system.store.open_gate().await;
-    let north = start_in("b", "north", "z2", &gate);
+    let gate = system.store.open_endpoint().await;
+    let north = start_in_region("b", "north", "z2", &gate);
     until(|| north.is_ready() && north.target_count() == 4).await;
     until(|| system.instance.peer_count() == 1).await;
     // The same peer under another name, with much more capacity and the previous protocol version.
@@ -293,7 +294,7 @@
     until(|| system.instance.peer_count() == 2).await;
     configure(&system, confined(2, &[(STAGED, &["north"])], None)).await;
     until(|| north.version() == 2).await;
-    let answer = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("1,1")).await;
+    let answer = system.send(CallerRequest::new("r-1", "/staged/").with_items("1,1")).await;
     assert_eq!(answer.status, StatusCode::OK);
     let item_count = |it| metric_sum(it, "holdpoint_pieces", "answered");
     assert_eq!((item_count(&system.instance).await, item_count(&north).await), (2.0, 0.0));
--- a/crates/holdpointd/tests/confinement_log.rs
+++ b/crates/holdpointd/tests/confinement_log.rs
@@ -7,7 +7,7 @@
 use holdpoint_adapter_standin::{Behaviour, confine_route, sample_configuration};
 use log::{LevelFilter, Log, Metadata, Record};
 
-use crate::support::{start_at, start_in, until};
+use crate::support::{start_in_region, start_with_domains, until};
 
 /// Logger that keeps all lines.
 struct LineLogger(Mutex<Vec<String>>);
@@ -37,9 +37,13 @@
     log::set_logger(&LINES).unwrap();
     log::set_max_level(LevelFilter::Info);
     let domain = |index| if index == 0 { "z1" } else { "nowhere" };
-    let system =
-        start_at(|gate| start_in("a", "east", "z1", gate), domain, &[Behaviour::Answer; 3], &[])
-            .await;
+    let system = start_with_domains(
+        |gate| start_in_region("a", "east", "z1", gate),
+        domain,
+        &[Behaviour::Answer; 3],
+        &[],
+    )
+    .await;
     assert_eq!(warning_count(""), 0, "warnings although no route is confined");
     for version in 2..4 {
         let mut configuration = sample_configuration(version);
--- a/crates/holdpointd/tests/crashing_requests.rs
+++ b/crates/holdpointd/tests/crashing_requests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use holdpoint_adapter_standin::{
-    Behaviour, CallerAnswer, CallerRequest, Gate, Outage, Store, Target, call,
+    Behaviour, CallerAnswer, CallerRequest, Endpoint, Outage, Store, Target, call,
 };
 use holdpointd::ingress::Ingress;
 use http::StatusCode;
@@ -30,7 +30,7 @@
 /// Three instances, and targets that crash on the crashing request and then restart.
 struct Fleet {
     system: System,
-    others: Vec<(Ingress, Gate)>,
+    others: Vec<(Ingress, Endpoint)>,
 }
 
 async fn fleet(plain: &[Behaviour], engines: &[Behaviour], restart: Restart) -> Fleet {
@@ -38,7 +38,7 @@
     let others = system.start_others(&["b", "c"]).await;
     let fleet = Fleet { system, others };
     let targets = fleet.targets();
-    targets.iter().for_each(|it| it.set_deadly(CRASH_MARKER));
+    targets.iter().for_each(|it| it.set_crash_content(CRASH_MARKER));
     for it in targets {
         tokio::spawn(restart_after_crashes(fleet.system.store.clone(), it, restart));
     }
@@ -59,7 +59,7 @@
                 format!("{}-{restarts}", target.id)
             }
         };
-        target.start_again(&id);
+        target.restart(&id);
         store.put_target(&target, false);
     }
 }
@@ -174,8 +174,8 @@
     let staged = |id: &str, key: &str| {
         CallerRequest::new(id, "/staged/x")
             .with_body(format!("body of {key}"))
-            .with_pieces("2,1")
-            .with_piece_key(key)
+            .with_items("2,1")
+            .with_item_key(key)
             .with_header("holdpoint-deadline-ms", "8000")
     };
     let encoder = &fleet.system.encoder;
@@ -189,7 +189,7 @@
         for round in 0..12 {
             let key = format!("{round}a");
             let answer = fleet.send(round, staged(&format!("n-{round}"), &key)).await;
-            served += usize::from(answer.status == StatusCode::OK && answer.is_whole);
+            served += usize::from(answer.status == StatusCode::OK && answer.is_complete);
         }
         served
     };
@@ -226,11 +226,11 @@
         fleet.crash_targets("/story/x").await;
     };
     let (answers, ()) = tokio::join!(futures::future::join_all(beside), crashing);
-    let whole = answers.iter().filter(|it| it.is_whole).count();
+    let whole = answers.iter().filter(|it| it.is_complete).count();
     assert!(6 <= whole, "{whole} of 12 streams were complete; three of six engines crashed");
     for it in 0..12 {
         let answer = fleet.send(it, neighbour(&format!("m-{it}"), it)).await;
-        assert!(answer.status == StatusCode::OK && answer.is_whole, "neighbour {it}");
+        assert!(answer.status == StatusCode::OK && answer.is_complete, "neighbour {it}");
     }
 }
 
@@ -249,8 +249,8 @@
     let staged = |id: String| {
         CallerRequest::new(&id, "/staged/x")
             .with_body(CRASH_MARKER)
-            .with_pieces("2,1")
-            .with_piece_key("7b")
+            .with_items("2,1")
+            .with_item_key("7b")
     };
     // A request every 25 ms, so that the stages of some are running at any time.
     let mut asked = Vec::new();
@@ -299,10 +299,10 @@
     let mut fleet = fleet(&[], &[Behaviour::Events(20); 6], Restart::NewId).await;
     fleet.crash_targets("/story/x").await;
     let before = fleet.crashing_runs();
-    let gate = fleet.system.store.open_gate().await;
+    let gate = fleet.system.store.open_endpoint().await;
     let late = start_instance("d", &gate);
     assert_refused_by(&late, "s-1").await;
-    let gate = fleet.system.store.open_gate().await;
+    let gate = fleet.system.store.open_endpoint().await;
     fleet.others.drain(..).for_each(|(it, _)| drop(tokio::spawn(it.stop())));
     drop(tokio::spawn(late.stop()));
     let first = std::mem::replace(&mut fleet.system.instance, start_instance("e", &gate));
@@ -341,7 +341,7 @@
 #[tokio::test]
 async fn a_quarantine_reaches_all_instances_during_a_store_outage() {
     let fleet = fleet(&[], &[Behaviour::Events(20); 6], Restart::SameId).await;
-    let gates = [&fleet.system.store.gate, &fleet.others[0].1, &fleet.others[1].1];
+    let gates = [&fleet.system.store.endpoint, &fleet.others[0].1, &fleet.others[1].1];
     gates.iter().for_each(|it| it.set_outage(Outage::Silent));
     tokio::time::sleep(Duration::from_millis(400)).await;
     fleet.crash_targets("/story/x").await;
@@ -361,11 +361,11 @@
     let store = &fleet.system.store;
     until(|| !store.resource_keys().is_empty()).await;
     assert_refused(&fleet.send(0, crashing("s-1", "/story/x")).await);
-    fleet.targets().iter().for_each(|it| it.set_deadly(""));
+    fleet.targets().iter().for_each(|it| it.set_crash_content(""));
     store.resource_keys().iter().for_each(|it| store.drop_resource(it));
     tokio::time::sleep(Duration::from_millis(700)).await;
     for round in 0..3 {
         let answer = fleet.send(round, crashing(&format!("t-{round}"), "/story/x")).await;
-        assert!(answer.status == StatusCode::OK && answer.is_whole, "instance {round}");
+        assert!(answer.status == StatusCode::OK && answer.is_complete, "instance {round}");
     }
 }
--- a/crates/holdpointd/tests/denials.rs
+++ b/crates/holdpointd/tests/denials.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use serde_json::json;
 
-use crate::support::{PATIENCE, System, start, start_instance, until};
+use crate::support::{CONDITION_TIMEOUT, System, start, start_instance, until};
 
 /// Sends requests for a route that does not exist until one has the expected status.
 async fn until_answered(system: &System, expected: StatusCode) {
@@ -18,7 +18,9 @@
             attempt += 1;
         }
     };
-    tokio::time::timeout(PATIENCE, asked).await.expect("no answer had the expected status in time");
+    tokio::time::timeout(CONDITION_TIMEOUT, asked)
+        .await
+        .expect("no answer had the expected status in time");
 }
 
 /// Callers treat a denial as final. An isolated instance may have missed the configuration that allows the
@@ -27,23 +29,23 @@
 async fn an_isolated_instance_denies_nothing() {
     let system = start(&[Behaviour::Answer], &[]).await;
     until_answered(&system, StatusCode::NOT_FOUND).await;
-    system.store.gate.set_outage(Outage::Busy);
+    system.store.endpoint.set_outage(Outage::Busy);
     until_answered(&system, StatusCode::SERVICE_UNAVAILABLE).await;
     assert_eq!(system.ask("r-known", "/safe/").await.status, StatusCode::OK);
-    system.store.gate.set_outage(Outage::None);
+    system.store.endpoint.set_outage(Outage::None);
     until_answered(&system, StatusCode::NOT_FOUND).await;
 }
 
 #[tokio::test]
 async fn waiting_requests_share_one_check_of_the_configuration() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    system.store.gate.set_outage(Outage::Busy);
+    system.store.endpoint.set_outage(Outage::Busy);
     until_answered(&system, StatusCode::SERVICE_UNAVAILABLE).await;
-    let before = system.store.gate.call_count();
+    let before = system.store.endpoint.call_count();
     let ids: Vec<String> = (0..200).map(|it| format!("shared-{it}")).collect();
     let answers = join_all(ids.iter().map(|it| system.ask(it, "/nowhere/"))).await;
     assert!(answers.iter().all(|it| it.status == StatusCode::SERVICE_UNAVAILABLE));
-    let calls = system.store.gate.call_count() - before;
+    let calls = system.store.endpoint.call_count() - before;
     // Includes the periodic reads of the store.
     assert!(calls < 50, "{calls} calls to the store for 200 requests");
 }
@@ -52,11 +54,11 @@
 #[tokio::test]
 async fn an_instance_that_the_store_rejects_asks_a_peer_before_it_denies() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let other = start_instance("b", &gate);
     until(|| other.is_ready() && other.peer_count() == 1 && system.instance.peer_count() == 1)
         .await;
-    system.store.gate.set_outage(Outage::Busy);
+    system.store.endpoint.set_outage(Outage::Busy);
     let mut emptied = sample_configuration(7);
     emptied["routes"] = json!([]);
     system.store.put_configuration(&emptied);
@@ -67,7 +69,7 @@
 #[tokio::test]
 async fn an_instance_without_a_configuration_denies_nothing() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     gate.set_outage(Outage::Busy);
     let alone = start_instance("alone", &gate);
     let address = alone.listen().callers.parse().unwrap();
--- a/crates/holdpointd/tests/domains.rs
+++ b/crates/holdpointd/tests/domains.rs
@@ -10,7 +10,7 @@
 use http::StatusCode;
 use serde_json::json;
 
-use crate::support::{System, header, start, start_instance, story, until};
+use crate::support::{System, event_stream, header, start, start_instance, until};
 
 /// Starts a system whose first plain target and first engine are in failure domain z2, all others in z1.
 async fn two_domains(engines: &[Behaviour]) -> System {
@@ -49,13 +49,13 @@
 async fn a_running_stream_completes_and_new_ones_avoid_the_evacuated_domain() {
     let system = two_domains(&[Behaviour::Events(40)]).await;
     let request = CallerRequest::new("r-1", "/story/").with_prompt("p:100");
-    let callers = system.callers();
+    let callers = system.caller_address();
     let streaming = tokio::spawn(call(callers, request));
     until(|| system.engine_runs() == 1).await;
     evacuate(&system, "z2", 2).await;
     let answer = streaming.await.unwrap().expect("there is an answer");
-    assert!(answer.is_whole);
-    assert_eq!(answer.body, story(0, 40));
+    assert!(answer.is_complete);
+    assert_eq!(answer.body, event_stream(0, 40));
     let refused = system.ask("r-2", "/story/").await;
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!header(&refused, "retry-after").is_empty());
@@ -67,7 +67,7 @@
     let system = two_domains(&[Behaviour::Events(3), Behaviour::BreakAfter(2)]).await;
     evacuate(&system, "z2", 3).await;
     let answer = system.ask("r-1", "/story/").await;
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert_eq!(system.engines[0].runs().len(), 0);
 }
 
@@ -78,7 +78,7 @@
     system.store.put_target_in(&other, "z2", 0);
     until(|| system.instance.open_count() == 3).await;
     evacuate(&system, "z2", 2).await;
-    let staged = |id: &str| CallerRequest::new(id, "/staged/").with_pieces("2,1");
+    let staged = |id: &str| CallerRequest::new(id, "/staged/").with_items("2,1");
     for id in 0..10 {
         let answer = system.send(staged(&format!("r-{id}"))).await;
         assert_eq!(answer.status, StatusCode::OK);
@@ -98,9 +98,9 @@
 #[tokio::test]
 async fn waiting_items_are_refused_at_once_when_their_last_target_is_evacuated() {
     let system = start(&[], &[Behaviour::Events(2)]).await;
-    system.encoder.set_behaviour(Behaviour::DeclinePieces);
-    let request = CallerRequest::new("r-1", "/staged/").with_pieces("1,1");
-    let callers = system.callers();
+    system.encoder.set_behaviour(Behaviour::DeclineItems);
+    let request = CallerRequest::new("r-1", "/staged/").with_items("1,1");
+    let callers = system.caller_address();
     let waiting = tokio::spawn(call(callers, request));
     until(|| system.encoder.declined() != 0).await;
     evacuate(&system, "z1", 0).await;
@@ -113,7 +113,7 @@
 async fn an_instance_that_starts_in_an_outage_learns_of_evacuations_before_it_is_ready() {
     let system = two_domains(&[]).await;
     evacuate(&system, "z2", 2).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     gate.set_outage(Outage::Busy);
     let seeds = [system.instance.listen().peers.clone()];
     let started = support::start_with_seeds("b", &gate, &seeds);
@@ -125,7 +125,7 @@
 #[tokio::test]
 async fn an_evacuation_withdrawn_during_a_store_outage_ends_after_it() {
     let system = two_domains(&[]).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let other = start_instance("b", &gate);
     until(|| other.is_ready() && other.open_count() == 3).await;
     until(|| other.peer_count() == 1 && system.instance.peer_count() == 1).await;
@@ -133,7 +133,7 @@
     until(|| other.open_count() == 2).await;
     // Neither instance reaches the store while the evacuation is withdrawn and the history compacted.
     gate.set_outage(Outage::Busy);
-    system.store.gate.set_outage(Outage::Busy);
+    system.store.endpoint.set_outage(Outage::Busy);
     let before = gate.call_count();
     until(|| before + 3 < gate.call_count()).await;
     system.store.restore("z2");
@@ -166,7 +166,7 @@
     let warm = Target::start("i-warm", "plain", Behaviour::Answer).await;
     store.put_target_in(&cold, "z1", 60_000);
     store.put_target_in(&warm, "z1", 0);
-    let instances: Vec<_> = ["a", "b", "c"].map(|it| start_instance(it, &store.gate)).into();
+    let instances: Vec<_> = ["a", "b", "c"].map(|it| start_instance(it, &store.endpoint)).into();
     until(|| instances.iter().all(|it| it.is_ready() && it.target_count() == 2)).await;
     until(|| instances.iter().all(|it| it.peer_count() == 2)).await;
     let before = cold.runs().len();
--- a/crates/holdpointd/tests/expected.rs
+++ b/crates/holdpointd/tests/expected.rs
@@ -6,7 +6,7 @@
 use holdpoint_adapter_standin::{Behaviour, CallerRequest, Target, names};
 use http::StatusCode;
 
-use crate::support::{start, story, until};
+use crate::support::{event_stream, start, until};
 
 #[tokio::test]
 async fn requests_items_resumed_streams_and_releases_name_their_intended_target() {
@@ -15,19 +15,19 @@
     assert_eq!(system.ask("r-1", "/safe/").await.status, StatusCode::OK);
     assert_eq!(system.ask("r-2", "/unsafe/").await.status, StatusCode::OK);
     system.engines.iter().for_each(|it| it.set_behaviour(Behaviour::Events(2)));
-    let staged = CallerRequest::new("r-3", "/staged/").with_pieces("2,1");
+    let staged = CallerRequest::new("r-3", "/staged/").with_items("2,1");
     assert_eq!(system.send(staged).await.status, StatusCode::OK);
     // The stream breaks at the engine that is chosen first, and is resumed at the other.
     system.engines.iter().for_each(|it| it.set_behaviour(Behaviour::BreakAfter(3)));
     drop(system.ask("r-4", "/story/").await);
-    let paths = |it: &Target| it.meant().into_iter().map(|it| it.0).collect::<Vec<_>>();
+    let paths = |it: &Target| it.addressed().into_iter().map(|it| it.0).collect::<Vec<_>>();
     until(|| paths(&system.encoder).contains(&names::RELEASE_PATH.to_owned())).await;
     let resumed = system.engines.iter().flat_map(Target::runs);
     let resumed = resumed.filter(|it| it.headers.contains_key("last-event-id"));
     assert_eq!(resumed.count(), 1);
-    assert!(paths(&system.encoder).contains(&names::PIECES_PATH.to_owned()));
+    assert!(paths(&system.encoder).contains(&names::RUN_PATH.to_owned()));
     for target in system.plain.iter().chain(&system.engines).chain([&system.encoder]) {
-        let meant = target.meant();
+        let meant = target.addressed();
         assert!(!meant.is_empty());
         assert!(meant.iter().all(|it| it.1 == target.id), "{meant:?}");
     }
@@ -68,9 +68,9 @@
     system.store.put_target(&stale_entry(&plain, "i-gone-encoder", "encode"), false);
     until(|| system.instance.target_count() == 4).await;
     for id in 0..4 {
-        let request = CallerRequest::new(&format!("r-{id}"), "/staged/").with_pieces("2,1");
+        let request = CallerRequest::new(&format!("r-{id}"), "/staged/").with_items("2,1");
         let answer = system.send(request).await;
-        assert_eq!((answer.status, answer.body), (StatusCode::OK, story(0, 2).into()));
+        assert_eq!((answer.status, answer.body), (StatusCode::OK, event_stream(0, 2).into()));
     }
     assert_eq!(plain.runs().len() + plain.batches().len(), 0);
     assert_eq!(system.engine_runs(), 4);
--- a/crates/holdpointd/tests/gone.rs
+++ b/crates/holdpointd/tests/gone.rs
@@ -9,7 +9,7 @@
 };
 
 use holdpoint_adapter_standin::{
-    Behaviour, CallerRequest, Target, call, sample_configuration, set_pace, set_times,
+    Behaviour, CallerRequest, Target, call, sample_configuration, set_stream_times, set_times,
 };
 use holdpointd::ingress::Ingress;
 use serde_json::Value;
@@ -29,7 +29,7 @@
     let system = start(plain, engines).await;
     let mut configuration = sample_configuration(2);
     [SAFE, STORY, STAGED].into_iter().for_each(|it| set_times(&mut configuration, it, DEADLINE_MS));
-    set_pace(&mut configuration, STORY, DEADLINE_MS, DEADLINE_MS);
+    set_stream_times(&mut configuration, STORY, DEADLINE_MS, DEADLINE_MS);
     system.store.put_configuration(&configuration);
     until(|| system.instance.version() == 2).await;
     system
@@ -65,7 +65,7 @@
     let system = start_with_long_deadlines(&[Behaviour::RunAndHang; 2], &[]).await;
     let waiting = caller(&system.instance, request("r-1", "/safe/"));
     until(|| system.plain_runs() == 1).await;
-    let working = || system.plain.iter().map(Target::working).sum::<u64>();
+    let working = || system.plain.iter().map(Target::in_progress).sum::<u64>();
     assert_eq!(working(), 1);
     disconnect(waiting, "whole answer", || working() == 0 && system.instance.in_flight() == 0)
         .await;
@@ -80,7 +80,8 @@
         let waiting = caller(&system.instance, request("r-1", "/story/"));
         until(|| system.engine_runs() == 1 && system.instance.in_flight() == 1).await;
         let is_over = || {
-            system.engines.iter().all(|it| it.working() == 0) && system.instance.in_flight() == 0
+            system.engines.iter().all(|it| it.in_progress() == 0)
+                && system.instance.in_flight() == 0
         };
         disconnect(waiting, &format!("stream, {behaviour:?}"), is_over).await;
         assert_no_arrivals(&[&system.engines[0], &system.engines[1]]).await;
@@ -98,10 +99,10 @@
     system.store.put_target(&second, false);
     until(|| system.instance.target_count() == 3).await;
     let again = caller(&system.instance, request("r-2", "/story/"));
-    until(|| second.working() != 0).await;
+    until(|| second.in_progress() != 0).await;
     waiting.abort();
     disconnect(again, "resumed stream", || {
-        second.working() == 0 && system.instance.in_flight() == 0
+        second.in_progress() == 0 && system.instance.in_flight() == 0
     })
     .await;
     assert_no_arrivals(&[&second, &system.engines[0]]).await;
@@ -116,18 +117,18 @@
 /// Items of the second stage wait at the instance that batches them, since the target declines their calls.
 async fn assert_withdrawn(by_peer: bool) {
     let system = start_with_long_deadlines(&[], &[Behaviour::Events(2)]).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let other = start_instance("b", &gate);
     let is_known = || system.instance.peer_count() == 1 && other.peer_count() == 1;
     until(|| is_known() && other.is_ready() && other.version() == 2).await;
     until(|| other.target_count() == 2).await;
-    system.encoder.set_behaviour(Behaviour::DeclinePieces);
+    system.encoder.set_behaviour(Behaviour::DeclineItems);
     let batcher = batcher(&system, &other).await;
     let receiver = match (batcher == "a") == by_peer {
         true => &other,
         false => &system.instance,
     };
-    let waiting = caller(receiver, request("r-1", "/staged/").with_pieces("2,2"));
+    let waiting = caller(receiver, request("r-1", "/staged/").with_items("2,2"));
     until(|| system.encoder.declined() != 0).await;
     let what = if by_peer { "items at a peer" } else { "items at the caller's instance" };
     waiting.abort();
@@ -143,7 +144,7 @@
             }
         }
     };
-    tokio::time::timeout(support::PATIENCE, withdrawn)
+    tokio::time::timeout(support::CONDITION_TIMEOUT, withdrawn)
         .await
         .expect("the items are still sent after their caller disconnected");
     assert!(
@@ -155,14 +156,14 @@
     assert_no_arrivals(&[&system.encoder, &system.engines[0]]).await;
     assert!(!got_second_stage(&system.encoder, "r-1"));
     // The results of the first stage are released.
-    until(|| system.encoder.freed().len() == 3).await;
+    until(|| system.encoder.released().len() == 3).await;
 }
 
 /// Name of the instance that batches the items of both, found by the metrics of a probe.
 async fn batcher(system: &System, other: &Ingress) -> &'static str {
-    let probe = request("probe", "/staged/").with_pieces("1,0");
-    assert_eq!(call(system.callers(), probe).await.expect("there is an answer").status, 200);
-    let freed = || system.encoder.freed().len();
+    let probe = request("probe", "/staged/").with_items("1,0");
+    assert_eq!(call(system.caller_address(), probe).await.expect("there is an answer").status, 200);
+    let freed = || system.encoder.released().len();
     until(|| freed() == 1).await;
     let is_own = metrics(&system.instance).await.contains("holdpoint_pieces");
     let is_others = metrics(other).await.contains("holdpoint_pieces_total{");
@@ -192,13 +193,13 @@
 #[tokio::test]
 async fn results_that_arrive_after_their_caller_left_are_released() {
     let system = start_with_long_deadlines(&[], &[Behaviour::Events(2)]).await;
-    system.encoder.set_behaviour(Behaviour::HoldPieces);
-    let waiting = caller(&system.instance, request("r-1", "/staged/").with_pieces("1,2"));
-    until(|| system.encoder.working() == 1 && system.encoder.batches().len() == 1).await;
+    system.encoder.set_behaviour(Behaviour::StallItems);
+    let waiting = caller(&system.instance, request("r-1", "/staged/").with_items("1,2"));
+    until(|| system.encoder.in_progress() == 1 && system.encoder.batches().len() == 1).await;
     disconnect(waiting, "items in a call", || system.instance.in_flight() == 0).await;
     system.encoder.set_behaviour(Behaviour::Answer);
-    until(|| system.encoder.working() == 0).await;
-    let freed = || system.encoder.freed().into_iter().collect::<BTreeSet<_>>().len();
+    until(|| system.encoder.in_progress() == 0).await;
+    let freed = || system.encoder.released().into_iter().collect::<BTreeSet<_>>().len();
     until(|| freed() == 3).await;
     assert_no_arrivals(&[&system.encoder, &system.engines[0]]).await;
     assert_eq!(system.engine_runs(), 0);
--- a/crates/holdpointd/tests/ingress.rs
+++ b/crates/holdpointd/tests/ingress.rs
@@ -6,14 +6,16 @@
 use std::{collections::HashSet, future::Future, time::Duration};
 
 use holdpoint_adapter_standin::{
-    Behaviour, CallerRequest, Gate, Outage, Store, Target, call, names, sample_configuration,
-    set_pace, set_times,
+    Behaviour, CallerRequest, Endpoint, Outage, Store, Target, call, names, sample_configuration,
+    set_stream_times, set_times,
 };
 use holdpointd::ingress::Ingress;
 use http::{Method, StatusCode};
 use serde_json::json;
 
-use crate::support::{PATIENCE, System, header, start, start_instance, story, until};
+use crate::support::{
+    CONDITION_TIMEOUT, System, event_stream, header, start, start_instance, until,
+};
 
 #[tokio::test]
 async fn a_request_reaches_a_target_as_it_was_sent_and_its_answer_comes_back() {
@@ -24,22 +26,22 @@
         .with_header("connection", "x-hop")
         .with_header("x-hop", "dropped")
         .with_header(names::ORGANISATION, "forged")
-        .with_header(names::HOLD, "forged");
+        .with_header(names::RESERVATION, "forged");
     let answer = system.send(request).await;
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.body, "some bytes");
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     assert_eq!(header(&answer, names::SIGNATURE), "stamp-i-plain-0-r-1");
     assert_eq!(header(&answer, names::REQUEST_ID), "r-1");
     let run = &system.plain[0].runs()[0];
-    assert_eq!(run.line, "POST /safe/x?y=1");
+    assert_eq!(run.request_line, "POST /safe/x?y=1");
     assert_eq!(run.body, "some bytes");
     let of = |name: &str| run.headers.get(name).map(|it| it.to_str().unwrap());
     assert_eq!(of("x-own"), Some("kept"));
     assert_eq!(of("x-hop"), None);
     assert_eq!(of("authorization"), None, "the caller's key is not forwarded");
     assert_eq!(of(names::ORGANISATION), Some("acme"));
-    assert_eq!(of(names::HOLD), None);
+    assert_eq!(of(names::RESERVATION), None);
     assert_eq!(of(names::TARGET), Some("i-plain-0"));
     let left: u64 = of(names::DEADLINE).unwrap().parse().unwrap();
     assert!(left <= 2000);
@@ -70,7 +72,7 @@
 async fn a_request_that_may_run_once_runs_at_most_once() {
     for behaviour in [
         Behaviour::RunAndCut,
-        Behaviour::Cross,
+        Behaviour::WrongRequestId,
         Behaviour::Unsigned,
         Behaviour::CutBody,
         Behaviour::Fail,
@@ -115,7 +117,7 @@
     for behaviour in [
         Behaviour::RunAndCut,
         Behaviour::RunAndHang,
-        Behaviour::Cross,
+        Behaviour::WrongRequestId,
         Behaviour::Unsigned,
         Behaviour::CutBody,
         Behaviour::Fail,
@@ -142,8 +144,8 @@
     let system = start(&[], &[Behaviour::Events(20)]).await;
     let answer = system.ask("r-1", "/story/").await;
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(answer.is_whole);
-    assert_eq!(answer.body, story(0, 20));
+    assert!(answer.is_complete);
+    assert_eq!(answer.body, event_stream(0, 20));
 }
 
 #[tokio::test]
@@ -151,8 +153,8 @@
     let system = start(&[], &[Behaviour::BreakAfter(5), Behaviour::Events(12)]).await;
     for id in 0..6 {
         let answer = system.ask(&format!("r-{id}"), "/story/").await;
-        assert!(answer.is_whole, "request {id}");
-        assert_eq!(answer.body, story(0, 12), "request {id}");
+        assert!(answer.is_complete, "request {id}");
+        assert_eq!(answer.body, event_stream(0, 12), "request {id}");
     }
     assert!(system.engines[0].runs().len() < 6, "an engine that breaks streams is avoided");
 }
@@ -161,8 +163,8 @@
 async fn a_broken_stream_that_may_not_be_resumed_never_looks_whole() {
     let system = start(&[], &[Behaviour::BreakAfter(5), Behaviour::BreakAfter(5)]).await;
     let answer = system.ask("r-1", "/once/").await;
-    assert!(!answer.is_whole);
-    assert_eq!(answer.body, story(0, 5), "a partial event was passed on");
+    assert!(!answer.is_complete);
+    assert_eq!(answer.body, event_stream(0, 5), "a partial event was passed on");
     assert_eq!(system.engine_runs(), 1);
 }
 
@@ -171,14 +173,14 @@
     let system = start(&[], &[Behaviour::Events(12)]).await;
     let request = CallerRequest::new("r-1", "/story/").with_header("last-event-id", "7");
     let answer = system.send(request).await;
-    assert_eq!(answer.body, story(8, 12));
+    assert_eq!(answer.body, event_stream(8, 12));
 }
 
 #[tokio::test]
 async fn stages_run_in_order_and_their_results_are_released() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
-    let answer = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3")).await;
-    assert_eq!(answer.body, story(0, 3));
+    let answer = system.send(CallerRequest::new("r-1", "/staged/").with_items("2,3")).await;
+    assert_eq!(answer.body, event_stream(0, 3));
     let items: Vec<_> = system.encoder.batches().into_iter().flatten().collect();
     let first: Vec<_> = items.iter().filter(|it| it["stage"] == 0).collect();
     let second: Vec<_> = items.iter().filter(|it| it["stage"] == 1).collect();
@@ -187,23 +189,23 @@
     assert!(second.iter().all(|it| it["inputs"].as_array().unwrap().len() == 2));
     let inputs = system.engines[0].runs()[0].headers[names::INPUTS].to_str().unwrap().to_owned();
     assert_eq!(inputs.split(',').count(), 3);
-    until(|| system.encoder.freed().len() == 5).await;
+    until(|| system.encoder.released().len() == 5).await;
 }
 
 /// Results that the next stage has already fetched must not use up the capacity of the targets that hold them.
 #[tokio::test]
 async fn results_are_released_as_soon_as_the_next_stage_has_them() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
-    system.encoder.set_behaviour(Behaviour::HoldPieces);
-    let asked = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3"));
+    system.encoder.set_behaviour(Behaviour::StallItems);
+    let asked = system.send(CallerRequest::new("r-1", "/staged/").with_items("2,3"));
     let meanwhile = async {
-        until(|| system.encoder.freed().len() == 2).await;
+        until(|| system.encoder.released().len() == 2).await;
         assert_eq!(system.encoder.batches().len(), 1, "the next stage is still running");
         system.encoder.set_behaviour(Behaviour::Answer);
     };
     let (answer, ()) = tokio::join!(asked, meanwhile);
-    assert_eq!(answer.body, story(0, 3));
-    until(|| 5 <= system.encoder.freed().len()).await;
+    assert_eq!(answer.body, event_stream(0, 3));
+    until(|| 5 <= system.encoder.released().len()).await;
 }
 
 /// Inputs are also lost when the target that holds them fails. That must not be treated as a sign of two instances
@@ -211,14 +213,14 @@
 #[tokio::test]
 async fn lost_inputs_do_not_delay_the_release_of_later_ones() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
-    system.encoder.set_behaviour(Behaviour::LosePieces);
-    let lost = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3")).await;
+    system.encoder.set_behaviour(Behaviour::LoseInputs);
+    let lost = system.send(CallerRequest::new("r-1", "/staged/").with_items("2,3")).await;
     assert_eq!(lost.status, StatusCode::SERVICE_UNAVAILABLE);
     let run_count = system.encoder.batches().concat().len();
-    let freed = || system.encoder.freed().into_iter().collect::<HashSet<_>>().len();
+    let freed = || system.encoder.released().into_iter().collect::<HashSet<_>>().len();
     until(|| freed() == run_count).await;
-    system.encoder.set_behaviour(Behaviour::HoldPieces);
-    let asked = system.send(CallerRequest::new("r-2", "/staged/").with_pieces("2,3"));
+    system.encoder.set_behaviour(Behaviour::StallItems);
+    let asked = system.send(CallerRequest::new("r-2", "/staged/").with_items("2,3"));
     let meanwhile = async {
         until(|| freed() == run_count + 2).await;
         assert_eq!(
@@ -229,21 +231,21 @@
         system.encoder.set_behaviour(Behaviour::Answer);
     };
     let (answer, ()) = tokio::join!(asked, meanwhile);
-    assert_eq!(answer.body, story(0, 3));
+    assert_eq!(answer.body, event_stream(0, 3));
 }
 
 #[tokio::test]
 async fn inputs_are_released_once_after_a_declined_call() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
-    system.encoder.set_behaviour(Behaviour::DeclinePieces);
-    let asked = system.send(CallerRequest::new("r-1", "/staged/").with_pieces("2,3"));
+    system.encoder.set_behaviour(Behaviour::DeclineItems);
+    let asked = system.send(CallerRequest::new("r-1", "/staged/").with_items("2,3"));
     let meanwhile = async {
         until(|| 0 < system.encoder.declined()).await;
         system.encoder.set_behaviour(Behaviour::Answer);
     };
     let (answer, ()) = tokio::join!(asked, meanwhile);
-    assert_eq!(answer.body, story(0, 3));
-    until(|| system.encoder.freed().len() == 5).await;
+    assert_eq!(answer.body, event_stream(0, 3));
+    until(|| system.encoder.released().len() == 5).await;
 }
 
 #[tokio::test]
@@ -254,18 +256,18 @@
     system.store.put_configuration(&configuration);
     until(|| system.instance.version() == 2).await;
     let request = CallerRequest::new("r-1", "/staged/")
-        .with_pieces("1,2")
+        .with_items("1,2")
         .with_header(names::DEADLINE, "60000");
-    let running = tokio::spawn(call(system.callers(), request));
+    let running = tokio::spawn(call(system.caller_address(), request));
     until(|| system.engine_runs() == 1).await;
-    until(|| system.encoder.freed().len() == 3).await;
+    until(|| system.encoder.released().len() == 3).await;
     assert!(!running.is_finished());
     running.abort();
 }
 
 /// A request with two stages and a deadline of one minute.
 fn minute_request() -> CallerRequest {
-    CallerRequest::new("r-1", "/staged/").with_pieces("1,1").with_header(names::DEADLINE, "60000")
+    CallerRequest::new("r-1", "/staged/").with_items("1,1").with_header(names::DEADLINE, "60000")
 }
 
 /// When a broken stream is resumed, its stages run again. They must not be refused as too late for the first event,
@@ -278,14 +280,14 @@
     system.store.put_configuration(&configuration);
     until(|| system.instance.version() == 2).await;
     let request = minute_request();
-    let running = tokio::spawn(call(system.callers(), request));
+    let running = tokio::spawn(call(system.caller_address(), request));
     until(|| system.engine_runs() == 1).await;
     // The other engine joins while the first one is running and has not broken the stream yet.
     let other = Target::start("i-engine-1", "engine", Behaviour::Events(1210)).await;
     system.store.put_target(&other, false);
     let answer = running.await.unwrap().unwrap();
-    assert!(answer.is_whole);
-    assert_eq!(answer.body, story(0, 1210));
+    assert!(answer.is_complete);
+    assert_eq!(answer.body, event_stream(0, 1210));
     assert_eq!(other.runs().len(), 1);
 }
 
@@ -296,13 +298,13 @@
     let system = start(&[], &[Behaviour::Events(3)]).await;
     let mut configuration = sample_configuration(2);
     configuration["routes"][6]["timeout-ms"] = json!(60_000);
-    set_pace(&mut configuration, 6, 500, 100);
+    set_stream_times(&mut configuration, 6, 500, 100);
     system.store.put_configuration(&configuration);
     until(|| system.instance.version() == 2).await;
     system.store.drop_target("i-encode");
     until(|| system.instance.target_count() == 1).await;
     let request = minute_request();
-    let asked = tokio::time::timeout(PATIENCE, call(system.callers(), request));
+    let asked = tokio::time::timeout(CONDITION_TIMEOUT, call(system.caller_address(), request));
     let answer = asked.await.expect("no answer although the stages cannot run").unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!header(&answer, "retry-after").is_empty());
@@ -313,10 +315,10 @@
 async fn items_of_several_requests_share_a_call() {
     let system = start(&[], &[Behaviour::Events(3)]).await;
     let requests = (0..8).map(|id| {
-        system.send(CallerRequest::new(&format!("r-{id}"), "/staged/").with_pieces("1,1"))
+        system.send(CallerRequest::new(&format!("r-{id}"), "/staged/").with_items("1,1"))
     });
     let answers = futures::future::join_all(requests).await;
-    assert!(answers.iter().all(|it| it.is_whole && it.status == StatusCode::OK));
+    assert!(answers.iter().all(|it| it.is_complete && it.status == StatusCode::OK));
     let batches = system.encoder.batches();
     assert!(batches.iter().any(|it| 1 < it.len()));
     assert!(batches.iter().all(|it| it.len() <= 4), "a call has more than four items");
@@ -351,7 +353,7 @@
 #[tokio::test]
 async fn an_instance_without_a_configuration_says_that_it_has_not_run_the_request() {
     let store = Store::start().await;
-    let instance = start_instance("a", &store.gate);
+    let instance = start_instance("a", &store.endpoint);
     assert!(!instance.is_ready());
     let callers = instance.listen().callers.parse().unwrap();
     let answer = call(callers, CallerRequest::new("r-1", "/safe/")).await.unwrap();
@@ -364,7 +366,7 @@
 async fn a_request_that_comes_while_an_instance_starts_is_served_once_it_has_started() {
     let store = Store::start().await;
     let target = Target::start("i-plain-0", "plain", Behaviour::Answer).await;
-    let instance = start_instance("a", &store.gate);
+    let instance = start_instance("a", &store.endpoint);
     let callers = instance.listen().callers.parse().unwrap();
     let asked = tokio::spawn(call(callers, CallerRequest::new("r-1", "/safe/")));
     until(|| instance.in_flight() == 1).await;
@@ -393,9 +395,9 @@
 }
 
 /// Starts two instances, each with its own connection to the store.
-async fn two_instances() -> (System, Gate, Ingress) {
+async fn two_instances() -> (System, Endpoint, Ingress) {
     let system = start(&[Behaviour::Answer], &[Behaviour::Events(3)]).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let other = start_instance("b", &gate);
     until(|| other.is_ready() && other.peer_count() == 1).await;
     until(|| system.instance.peer_count() == 1).await;
@@ -424,18 +426,18 @@
 #[tokio::test]
 async fn a_lost_answer_to_one_long_poll_does_not_leave_an_old_configuration_active() {
     let (system, gate, other) = two_instances().await;
-    gate.set_outage(Outage::SilentWaits);
+    gate.set_outage(Outage::SilentLongPolls);
     // The long poll from before the outage is still answered, with this version.
     system.store.put_configuration(&sample_configuration(4));
     until(|| other.version() == 4).await;
     let staged = async |instance: &Ingress, id: &str| {
         let callers = instance.listen().callers.parse().unwrap();
-        let request = CallerRequest::new(id, "/staged/").with_pieces("1,1");
+        let request = CallerRequest::new(id, "/staged/").with_items("1,1");
         call(callers, request).await.unwrap()
     };
     // Whichever instance batches, the two are connected to each other now.
-    assert!(staged(&other, "r-1").await.is_whole);
-    assert!(staged(&system.instance, "r-2").await.is_whole);
+    assert!(staged(&other, "r-1").await.is_complete);
+    assert!(staged(&system.instance, "r-2").await.is_complete);
     system.store.put_configuration(&sample_configuration(6));
     until(|| other.version() == 6).await;
 }
@@ -445,11 +447,11 @@
     let (system, _gate, other) = two_instances().await;
     let addresses = [&system.instance, &other].map(|it| it.listen().callers.parse().unwrap());
     let ask = |id: usize| {
-        let request = CallerRequest::new(&format!("r-{id}"), "/staged/").with_pieces("1,1");
+        let request = CallerRequest::new(&format!("r-{id}"), "/staged/").with_items("1,1");
         call(addresses[id % 2], request)
     };
     let answers = futures::future::join_all((0..12).map(ask)).await;
-    assert!(answers.into_iter().all(|it| it.is_some_and(|it| it.is_whole)));
+    assert!(answers.into_iter().all(|it| it.is_some_and(|it| it.is_complete)));
     let mixed = |items: &Vec<serde_json::Value>| {
         let number = |it: &serde_json::Value| {
             it["id"].as_str().unwrap().trim_start_matches("r-").parse::<usize>().unwrap() % 2
@@ -473,7 +475,7 @@
     for id in 0..8 {
         let parts = format!("a{id}:4000,b{id}:4000,c{id}:3000");
         let request = CallerRequest::new(&format!("r-{id}"), "/story/").with_prompt(&parts);
-        assert!(call(addresses[id % 2], request).await.is_some_and(|it| it.is_whole));
+        assert!(call(addresses[id % 2], request).await.is_some_and(|it| it.is_complete));
     }
     let by_peer = "by=\"peer\"";
     let placed = [metrics(&system.instance).await, metrics(&other).await];
@@ -490,29 +492,29 @@
     until(|| system.instance.peer_count() == 3).await;
     for id in 0..4 {
         let request = CallerRequest::new(&format!("r-{id}"), "/staged/")
-            .with_pieces("1,1")
+            .with_items("1,1")
             .with_prompt("a:4000,b:4000,c:3000");
         let answer = system.send(request).await;
-        assert!(answer.is_whole);
+        assert!(answer.is_complete);
         assert_eq!(answer.status, StatusCode::OK);
     }
 }
 
-fn stop(instance: Ingress) -> impl Future<Output = holdpointd::Ended> {
+fn stop(instance: Ingress) -> impl Future<Output = holdpointd::StopOutcome> {
     instance.stop()
 }
 
 #[tokio::test]
 async fn a_planned_stop_finishes_requests_in_flight_and_admits_no_more() {
     let system = start(&[Behaviour::Answer], &[Behaviour::Events(150)]).await;
-    let callers = system.callers();
+    let callers = system.caller_address();
     let running = tokio::spawn(call(callers, CallerRequest::new("r-1", "/story/")));
     until(|| system.engine_runs() == 1).await;
     let stopping = tokio::spawn(stop(system.instance));
     let answer = running.await.unwrap().unwrap();
-    assert!(answer.is_whole);
-    assert_eq!(answer.body, story(0, 150));
-    assert_eq!(stopping.await.unwrap(), holdpointd::Ended::Drained);
+    assert!(answer.is_complete);
+    assert_eq!(answer.body, event_stream(0, 150));
+    assert_eq!(stopping.await.unwrap(), holdpointd::StopOutcome::Drained);
     let late = call(callers, CallerRequest::new("r-2", "/safe/")).await;
     assert!(late.is_none(), "answered after the stop: {late:?}");
 }
@@ -528,9 +530,9 @@
     system.store.drop_target("i-encode");
     until(|| system.instance.target_count() == 1).await;
     let request = minute_request();
-    let running = tokio::spawn(call(system.callers(), request));
+    let running = tokio::spawn(call(system.caller_address(), request));
     until(|| system.instance.in_flight() == 1).await;
-    assert_eq!(stop(system.instance).await, holdpointd::Ended::Drained);
+    assert_eq!(stop(system.instance).await, holdpointd::StopOutcome::Drained);
     let answer = running.await.unwrap().expect("there is an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
 }
@@ -538,7 +540,7 @@
 #[tokio::test]
 async fn a_caller_that_disconnects_ends_the_work_at_the_target() {
     let system = start(&[], &[Behaviour::Events(100_000)]).await;
-    let call = tokio::spawn(call(system.callers(), CallerRequest::new("r-1", "/story/")));
+    let call = tokio::spawn(call(system.caller_address(), CallerRequest::new("r-1", "/story/")));
     until(|| system.engine_runs() == 1).await;
     call.abort();
     let gone = async {
@@ -546,7 +548,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    if tokio::time::timeout(PATIENCE, gone).await.is_err() {
+    if tokio::time::timeout(CONDITION_TIMEOUT, gone).await.is_err() {
         panic!("the request did not end with its caller: {}", metrics(&system.instance).await);
     }
 }
--- a/crates/holdpointd/tests/named_limits.rs
+++ b/crates/holdpointd/tests/named_limits.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use holdpoint_adapter_standin::{
-    Badness, Behaviour, CallerAnswer, CallerRequest, Target, call, sample_configuration,
+    Behaviour, CallerAnswer, CallerRequest, FaultProfile, Target, call, sample_configuration,
 };
 use http::StatusCode;
 use serde_json::json;
@@ -48,7 +48,7 @@
 }
 
 fn served(answers: &[CallerAnswer]) -> usize {
-    answers.iter().filter(|it| it.status == StatusCode::OK && it.is_whole).count()
+    answers.iter().filter(|it| it.status == StatusCode::OK && it.is_complete).count()
 }
 
 #[tokio::test]
@@ -118,7 +118,7 @@
     until(|| fleet.instances().all(|it| it.target_count() == 4)).await;
     let limited = &fleet.system.encoder;
     limited.set_limit(Some(1.0));
-    let staged = |it: usize| CallerRequest::new(&format!("r-{it}"), "/staged/x").with_pieces("2,1");
+    let staged = |it: usize| CallerRequest::new(&format!("r-{it}"), "/staged/x").with_items("2,1");
     let answers = send(&fleet, staged).await;
     assert_within_limit(limited);
     assert!(!limited.batches().is_empty() && !other.batches().is_empty());
@@ -134,7 +134,7 @@
 #[tokio::test]
 async fn a_limit_holds_while_instances_end_and_start_again() {
     let system = start(&[Behaviour::Answer; 2], &[]).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let start_in = |name: &str| {
         let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
         let _context = runtime.enter();
@@ -204,8 +204,11 @@
 /// Idle connections count towards the limit that holds for all instances together.
 #[tokio::test]
 async fn idle_connections_stay_within_the_connection_limit_of_a_target() {
-    let fleet =
-        fleet(&[Behaviour::Bad(Badness { slow_ms: 100, ..Badness::failures(100) })], &[]).await;
+    let fleet = fleet(
+        &[Behaviour::Faulty(FaultProfile { slow_ms: 100, ..FaultProfile::failures(100) })],
+        &[],
+    )
+    .await;
     let mut configuration = sample_configuration(2);
     configuration["services"][0]["max-connections"] = json!(6);
     fleet.system.store.put_configuration(&configuration);
--- a/crates/holdpointd/tests/process.rs
+++ b/crates/holdpointd/tests/process.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use holdpoint_platform::{CallError, Http, OperatorClient, operators::ChangeForm};
+use holdpoint_platform::{CallError, Http, OperatorClient, operators::ChangeOptions};
 use holdpoint_standin::{list::ListStandin, log::LogStandin};
 use hyper::Method;
 use serde_json::{Value, json};
@@ -134,7 +134,7 @@
     daemon.until_ready(&http).await;
     let operator = OperatorClient::new(http.clone(), &daemon.operators, TOKEN);
     let organisation = json!({ "key_sha256": [holdpoint_core::ids::sha256_hex(b"key")] });
-    operator.put("organisations", "o", &organisation, &ChangeForm::default()).await.unwrap();
+    operator.put("organisations", "o", &organisation, &ChangeOptions::default()).await.unwrap();
     daemon.signal("-STOP");
     // While the process is stopped, the log fails and an unreachable instance is listed, so that
     // no confirmation succeeds once the process continues.
--- a/crates/holdpointd/tests/readers.rs
+++ b/crates/holdpointd/tests/readers.rs
@@ -4,12 +4,14 @@
 mod support;
 
 use holdpoint_adapter_standin::{
-    Behaviour, Gate, Outage, Target, large_configuration, sample_configuration,
+    Behaviour, Endpoint, Outage, Target, large_configuration, sample_configuration,
 };
 use holdpoint_standin::relay::Relay;
 use holdpointd::ingress::Ingress;
 
-use crate::support::{PATIENCE, System, start, start_at, start_instance, start_linked, until};
+use crate::support::{
+    CONDITION_TIMEOUT, System, start, start_instance, start_linked, start_with_domains, until,
+};
 
 /// Names of the instances other than the system's own.
 const OTHERS: [&str; 5] = ["b", "c", "d", "e", "f"];
@@ -17,7 +19,7 @@
 /// Several instances, each with its own gate to the store.
 struct Fleet {
     system: System,
-    instances: Vec<(Ingress, Gate)>,
+    instances: Vec<(Ingress, Endpoint)>,
 }
 
 impl Fleet {
@@ -27,11 +29,11 @@
 
     /// Starts a fleet whose instances have links of this many Mbit/s.
     async fn start_linked(link_mbps: f64) -> Fleet {
-        let first = |gate: &Gate| start_linked("a", gate, link_mbps);
-        let system = start_at(first, |_| "z1", &[Behaviour::Answer], &[]).await;
+        let first = |gate: &Endpoint| start_linked("a", gate, link_mbps);
+        let system = start_with_domains(first, |_| "z1", &[Behaviour::Answer], &[]).await;
         let mut instances = Vec::new();
         for name in OTHERS {
-            let gate = system.store.open_gate().await;
+            let gate = system.store.open_endpoint().await;
             instances.push((start_linked(name, &gate, link_mbps), gate));
         }
         let is_complete = |it: &Ingress| it.is_ready() && it.peer_count() == OTHERS.len();
@@ -40,8 +42,8 @@
         Fleet { system, instances }
     }
 
-    fn all(&self) -> impl Iterator<Item = (&Ingress, &Gate)> {
-        let first = (&self.system.instance, &self.system.store.gate);
+    fn all(&self) -> impl Iterator<Item = (&Ingress, &Endpoint)> {
+        let first = (&self.system.instance, &self.system.store.endpoint);
         std::iter::once(first).chain(self.instances.iter().map(|it| (&it.0, &it.1)))
     }
 
@@ -69,7 +71,7 @@
             }
             active_readers
         };
-        tokio::time::timeout(PATIENCE, waiting)
+        tokio::time::timeout(CONDITION_TIMEOUT, waiting)
             .await
             .expect("at most three instances call the store")
     }
@@ -104,7 +106,7 @@
     }
     joined.iter().for_each(|it| fleet.system.store.put_target(&it.1, false));
     fleet.wait_until_known(1, 62).await;
-    let gate = fleet.system.store.open_gate().await;
+    let gate = fleet.system.store.open_endpoint().await;
     let late = start_instance("late", &gate);
     until(|| late.target_count() == 62 && late.peer_count() == OTHERS.len() + 1).await;
     joined[..40].iter().for_each(|it| fleet.system.store.drop_target(&it.0));
@@ -154,7 +156,7 @@
 #[tokio::test]
 async fn an_entry_that_lapsed_while_the_store_was_away_may_come_back() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let gate = &system.store.gate;
+    let gate = &system.store.endpoint;
     gate.set_outage(Outage::Busy);
     let before = gate.call_count();
     until(|| before + 4 < gate.call_count()).await;
@@ -219,7 +221,7 @@
 #[tokio::test]
 async fn a_reader_that_was_cut_off_does_not_restore_a_removed_target() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let other = start_instance("b", &gate);
     let all_count =
         |count| system.instance.target_count() == count && other.target_count() == count;
@@ -246,19 +248,19 @@
 async fn an_instance_that_was_cut_off_alone_learns_at_once_of_removed_targets() {
     let system = start(&[Behaviour::Answer], &[]).await;
     let relay = Relay::start().await;
-    relay.lead_to(&system.instance.listen().peers);
+    relay.forward_to(&system.instance.listen().peers);
     system.store.put_instance("a", &format!("{} 1 1000 1000", relay.address()));
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let other = start_instance("b", &gate);
     until(|| other.is_ready() && other.peer_count() == 1 && other.target_count() == 2).await;
-    relay.lose(true, true);
+    relay.set_drops(true, true);
     gate.set_outage(Outage::Busy);
     let before = gate.call_count();
     until(|| before + 4 < gate.call_count()).await;
     system.store.drop_target("i-plain-0");
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
     system.store.put_target(&joined, false);
-    relay.lose(false, false);
+    relay.set_drops(false, false);
     gate.set_outage(Outage::None);
     // The new target is known only once the list without the other entry has been read.
     until(|| other.target_count() == 3).await;
--- a/crates/holdpointd/tests/refused.rs
+++ b/crates/holdpointd/tests/refused.rs
@@ -36,7 +36,7 @@
 const LOST: [Behaviour; 5] = [
     Behaviour::RunAndCut,
     Behaviour::RunAndHang,
-    Behaviour::Cross,
+    Behaviour::WrongRequestId,
     Behaviour::Unsigned,
     Behaviour::CutBody,
 ];
@@ -53,7 +53,7 @@
 
 #[tokio::test]
 async fn a_stream_that_was_lost_before_its_first_event_is_never_called_not_run() {
-    for lost in [Behaviour::RunAndCut, Behaviour::RunAndHang, Behaviour::Cross] {
+    for lost in [Behaviour::RunAndCut, Behaviour::RunAndHang, Behaviour::WrongRequestId] {
         let system = start(&[], &[lost, Behaviour::Decline]).await;
         check_not_run_answers(&system, &system.engines, "/story/").await;
         check_not_run_answers(&system, &system.engines, "/once/").await;
@@ -74,7 +74,7 @@
     let system = start(&[Behaviour::RunAndHang], &[]).await;
     let request =
         CallerRequest::new("r-1", "/unsafe/").with_header("holdpoint-deadline-ms", "60000");
-    let running = tokio::spawn(call(system.callers(), request));
+    let running = tokio::spawn(call(system.caller_address(), request));
     until(|| system.plain_runs() == 1).await;
     system.instance.stop().await;
     let answer = running.await.unwrap().expect("the instance answers");
--- a/crates/holdpointd/tests/regions.rs
+++ b/crates/holdpointd/tests/regions.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use holdpoint_adapter_standin::{
-    Behaviour, CallerRequest, Store, Target, call, sample_configuration, set_pace,
+    Behaviour, CallerRequest, Store, Target, call, sample_configuration, set_stream_times,
 };
 use holdpointd::ingress::Ingress;
 use http::StatusCode;
 use tokio::runtime::Runtime;
 
-use crate::support::{start_in, until};
+use crate::support::{start_in_region, until};
 
 /// The targets of one region.
 struct RegionTargets {
@@ -57,10 +57,11 @@
     for region in [&east, &north] {
         region.all().into_iter().for_each(|it| store.put_target_in(it, region.domain, 0));
     }
-    let a = start_in("a", "east", "z1", &store.gate);
+    let a = start_in_region("a", "east", "z1", &store.endpoint);
     let b_runtime = Runtime::new().unwrap();
-    let gate = store.open_gate().await;
-    let b = b_runtime.spawn(async move { start_in("b", "north", "z2", &gate) }).await.unwrap();
+    let gate = store.open_endpoint().await;
+    let b =
+        b_runtime.spawn(async move { start_in_region("b", "north", "z2", &gate) }).await.unwrap();
     let is_complete = |it: &Ingress| it.is_ready() && it.open_count() == 6 && it.peer_count() == 1;
     until(|| is_complete(&a) && is_complete(&b)).await;
     System { store, east, north, a, b, b_runtime }
@@ -79,11 +80,11 @@
 async fn send_staged(instance: &Ingress, name: &str, count: usize) {
     for id in 0..count {
         let request = CallerRequest::new(&format!("{name}-{id}"), "/staged/");
-        let request = request.with_prompt("p:100").with_pieces("2,1");
+        let request = request.with_prompt("p:100").with_items("2,1");
         let callers = instance.listen().callers.parse().unwrap();
         let answer = call(callers, request).await.expect("the instance answers");
         assert_eq!(answer.status, StatusCode::OK, "{name}-{id}");
-        assert!(answer.is_whole);
+        assert!(answer.is_complete);
     }
 }
 
@@ -188,12 +189,12 @@
 /// A configuration in which staged requests are late after 700 ms.
 fn short_deadlines() -> serde_json::Value {
     let mut configuration = sample_configuration(2);
-    set_pace(&mut configuration, STAGED, 700, 500);
+    set_stream_times(&mut configuration, STAGED, 700, 500);
     configuration
 }
 
 fn staged_request(id: &str, item_counts: &str) -> CallerRequest {
-    CallerRequest::new(id, "/staged/").with_prompt("p:100").with_pieces(item_counts)
+    CallerRequest::new(id, "/staged/").with_prompt("p:100").with_items(item_counts)
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -201,7 +202,7 @@
     let system = start().await;
     system.store.put_configuration(&short_deadlines());
     until(|| system.a.version() == 2 && system.b.version() == 2).await;
-    system.north.encoder.set_behaviour(Behaviour::HoldPieces);
+    system.north.encoder.set_behaviour(Behaviour::StallItems);
     let callers = system.b.listen().callers.parse().unwrap();
     // The first request keeps the only target of the stage busy, and the others queue behind it.
     let mut calls = Vec::new();
--- a/crates/holdpointd/tests/restarted_targets.rs
+++ b/crates/holdpointd/tests/restarted_targets.rs
@@ -20,7 +20,7 @@
     let first = &system.plain[0];
     (0..60).for_each(|_| system.store.put_target(first, false));
     assert_eq!(system.ask("r-1", "/safe/").await.status, StatusCode::OK);
-    first.end();
+    first.stop();
     tokio::time::sleep(Duration::from_millis(10)).await;
     let second = Target::start(&first.id, "plain", Behaviour::Answer).await;
     assert!(first.born() < second.born());
@@ -41,7 +41,7 @@
     system.store.put_target(first, true);
     until(|| system.instance.target_count() == 1).await;
     assert_eq!(system.ask("r-1", "/safe/").await.status, StatusCode::SERVICE_UNAVAILABLE);
-    first.end();
+    first.stop();
     tokio::time::sleep(Duration::from_millis(10)).await;
     let second = Target::start(&first.id, "plain", Behaviour::Answer).await;
     system.store.put_target(&second, false);
@@ -90,7 +90,7 @@
     let plain = [Behaviour::Answer, Behaviour::Answer, Behaviour::RunAndCut];
     let system = start(&plain, &[]).await;
     let ended = &system.plain[1];
-    ended.end();
+    ended.stop();
     for index in 0..150 {
         let entry = format!(
             r#"{{"service":"plain","address":"{}","zone":"z1","version":"v1","slots":8,
--- a/crates/holdpointd/tests/returned_store.rs
+++ b/crates/holdpointd/tests/returned_store.rs
@@ -13,12 +13,12 @@
 #[tokio::test]
 async fn records_at_reused_offsets_are_read() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let snapshot = system.store.copy();
+    let snapshot = system.store.snapshot();
     for version in 2..6 {
         system.store.put_configuration(&sample_configuration(version));
     }
     until(|| system.instance.version() == 5).await;
-    system.store.come_back_from(snapshot);
+    system.store.restore_snapshot(snapshot);
     system.store.put_configuration(&sample_configuration(9));
     until(|| system.instance.version() == 9).await;
 }
@@ -27,10 +27,10 @@
 #[tokio::test]
 async fn an_older_configuration_of_the_snapshot_is_ignored() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let snapshot = system.store.copy();
+    let snapshot = system.store.snapshot();
     system.store.put_configuration(&sample_configuration(3));
     until(|| system.instance.version() == 3).await;
-    system.store.come_back_from(snapshot);
+    system.store.restore_snapshot(snapshot);
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
     system.store.put_target(&joined, false);
     until(|| system.instance.target_count() == 3).await;
@@ -42,10 +42,10 @@
 #[tokio::test]
 async fn a_removed_target_is_not_restored_by_the_snapshot() {
     let system = start(&[Behaviour::Answer, Behaviour::Answer], &[]).await;
-    let snapshot = system.store.copy();
+    let snapshot = system.store.snapshot();
     system.store.drop_target("i-plain-0");
     until(|| system.instance.target_count() == 2).await;
-    system.store.come_back_from(snapshot);
+    system.store.restore_snapshot(snapshot);
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
     system.store.put_target(&joined, false);
     until(|| 3 <= system.instance.target_count()).await;
@@ -61,11 +61,11 @@
 #[tokio::test]
 async fn a_target_missing_from_the_snapshot_is_kept_until_it_has_written_its_entry_again() {
     let mut system = start(&[], &[]).await;
-    let snapshot = system.store.copy();
+    let snapshot = system.store.snapshot();
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
     system.store.put_target(&joined, false);
     until(|| system.instance.target_count() == 2).await;
-    system.store.come_back_from(snapshot);
+    system.store.restore_snapshot(snapshot);
     let other = Target::start("i-other", "plain", Behaviour::Decline).await;
     system.store.put_target(&other, false);
     until(|| system.instance.target_count() == 3).await;
@@ -85,10 +85,10 @@
 #[tokio::test]
 async fn a_domain_stays_evacuated_although_the_snapshot_lacks_the_order() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let snapshot = system.store.copy();
+    let snapshot = system.store.snapshot();
     system.store.evacuate("z1");
     until(|| !system.instance.evacuated().is_empty()).await;
-    system.store.come_back_from(snapshot);
+    system.store.restore_snapshot(snapshot);
     let joined = Target::start("i-joined", "plain", Behaviour::Answer).await;
     system.store.put_target(&joined, false);
     until(|| system.instance.target_count() == 3).await;
@@ -102,10 +102,10 @@
 #[tokio::test]
 async fn a_domain_whose_evacuation_is_not_ordered_again_is_restored() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let snapshot = system.store.copy();
+    let snapshot = system.store.snapshot();
     system.store.evacuate("z1");
     until(|| !system.instance.evacuated().is_empty()).await;
-    system.store.come_back_from(snapshot);
+    system.store.restore_snapshot(snapshot);
     until(|| system.instance.evacuated().is_empty()).await;
 }
 
@@ -114,13 +114,13 @@
 #[tokio::test]
 async fn an_instance_missing_from_the_snapshot_writes_its_entry_again() {
     let system = start(&[Behaviour::Answer], &[]).await;
-    let snapshot = system.store.copy();
-    let other = start_instance("b", &system.store.gate);
+    let snapshot = system.store.snapshot();
+    let other = start_instance("b", &system.store.endpoint);
     until(|| other.is_ready() && other.peer_count() == 1 && system.instance.peer_count() == 1)
         .await;
-    system.store.come_back_from(snapshot);
+    system.store.restore_snapshot(snapshot);
     until(|| system.store.instance_names().contains(&"b".to_owned())).await;
-    let late = start_instance("c", &system.store.gate);
+    let late = start_instance("c", &system.store.endpoint);
     until(|| late.peer_count() == 2).await;
     until(|| system.instance.peer_count() == 2 && other.peer_count() == 2).await;
 }
--- a/crates/holdpointd/tests/rollouts.rs
+++ b/crates/holdpointd/tests/rollouts.rs
@@ -12,7 +12,8 @@
 };
 
 use holdpoint_adapter_standin::{
-    Badness, Behaviour, CallerRequest, Gate, Outage, Store, Target, call, sample_configuration,
+    Behaviour, CallerRequest, Endpoint, FaultProfile, Outage, Store, Target, call,
+    sample_configuration,
 };
 use holdpoint_core::rollout::Phase;
 use holdpointd::ingress::Ingress;
@@ -29,7 +30,7 @@
 /// Deadline of roll-outs that only their deadline ends, in seconds.
 const SHORT_DURATION_S: f64 = 16.0;
 const GOOD: Behaviour =
-    Behaviour::Bad(Badness { percent: 0, slow_ms: 0, after: 0, path: "", above: 0 });
+    Behaviour::Faulty(FaultProfile { percent: 0, slow_ms: 0, after: 0, path: "", above: 0 });
 
 /// Instances, targets of two versions, and callers that send requests until `stop` is set.
 struct Fleet {
@@ -37,7 +38,7 @@
     service: &'static str,
     /// Targets of the other services that requests use.
     others: Vec<Target>,
-    gates: Vec<Gate>,
+    gates: Vec<Endpoint>,
     instances: Vec<Option<Ingress>>,
     old: Vec<Target>,
     new: Vec<Target>,
@@ -95,7 +96,7 @@
         }
         let count = 4 + fleet.others.len();
         for index in 0..instances {
-            let gate = fleet.store.open_gate().await;
+            let gate = fleet.store.open_endpoint().await;
             let seeds = fleet.seeds();
             fleet.instances.push(Some(start_with_seeds(&format!("n-{index}"), &gate, &seeds)));
             fleet.gates.push(gate);
@@ -116,7 +117,7 @@
 
     async fn add_killable(&mut self, count: usize) {
         for index in 0..count {
-            self.gates.push(self.store.open_gate().await);
+            self.gates.push(self.store.open_endpoint().await);
             self.instances.push(None);
             self.runtimes.push(None);
             self.start_killable(index);
@@ -253,7 +254,7 @@
     let id = format!("r-{caller}-{number}");
     let is_third = number.is_multiple_of(3);
     match service {
-        "encode" => CallerRequest::new(&id, "/staged/").with_pieces("2,1"),
+        "encode" => CallerRequest::new(&id, "/staged/").with_items("2,1"),
         "engine" => {
             let path = if is_third { "/once/" } else { "/story/" };
             CallerRequest::new(&id, path).with_prompt("p:100")
@@ -288,7 +289,7 @@
 
 #[tokio::test]
 async fn a_version_that_makes_stages_badly_is_taken_back_within_the_bound() {
-    let bad = Behaviour::Bad(Badness::failures(30));
+    let bad = Behaviour::Faulty(FaultProfile::failures(30));
     let mut fleet = Fleet::start_for("encode", (GOOD, bad), 3).await;
     let (old, new) = (fleet.old.clone(), fleet.new.clone());
     fleet.start_callers();
@@ -316,25 +317,25 @@
 
 #[tokio::test]
 async fn a_version_that_fails_is_taken_back() {
-    assert_eq!(roll_out(Behaviour::Bad(Badness::failures(30))).await, "rolled_back");
+    assert_eq!(roll_out(Behaviour::Faulty(FaultProfile::failures(30))).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_version_that_fails_later_is_taken_back() {
-    let later = Badness { after: 8, ..Badness::failures(40) };
-    assert_eq!(roll_out(Behaviour::Bad(later)).await, "rolled_back");
+    let later = FaultProfile { after: 8, ..FaultProfile::failures(40) };
+    assert_eq!(roll_out(Behaviour::Faulty(later)).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_version_that_fails_on_one_route_is_taken_back() {
-    let on_one = Badness { path: "/unsafe/", ..Badness::failures(50) };
-    assert_eq!(roll_out(Behaviour::Bad(on_one)).await, "rolled_back");
+    let on_one = FaultProfile { path: "/unsafe/", ..FaultProfile::failures(50) };
+    assert_eq!(roll_out(Behaviour::Faulty(on_one)).await, "rolled_back");
 }
 
 #[tokio::test]
 async fn a_version_that_is_slow_is_taken_back() {
-    let slow = Badness { slow_ms: 120, ..Badness::failures(50) };
-    assert_eq!(roll_out(Behaviour::Bad(slow)).await, "rolled_back");
+    let slow = FaultProfile { slow_ms: 120, ..FaultProfile::failures(50) };
+    assert_eq!(roll_out(Behaviour::Faulty(slow)).await, "rolled_back");
 }
 
 #[tokio::test]
@@ -374,7 +375,7 @@
 /// Instances are stopped one after the other while one of them drives the roll-out.
 #[tokio::test]
 async fn a_bad_version_is_taken_back_although_its_drivers_are_stopped() {
-    let mut fleet = Fleet::start(Behaviour::Bad(Badness::failures(30)), 3).await;
+    let mut fleet = Fleet::start(Behaviour::Faulty(FaultProfile::failures(30)), 3).await;
     fleet.start_callers();
     fleet.order_rollout();
     let ordered = Instant::now();
@@ -392,8 +393,8 @@
 /// The only instance that can reach the store takes over the roll-out.
 #[tokio::test]
 async fn a_driver_that_is_cut_off_from_the_store_is_replaced() {
-    let later = Badness { after: 6, ..Badness::failures(40) };
-    let mut fleet = Fleet::start(Behaviour::Bad(later), 3).await;
+    let later = FaultProfile { after: 6, ..FaultProfile::failures(40) };
+    let mut fleet = Fleet::start(Behaviour::Faulty(later), 3).await;
     fleet.start_callers();
     fleet.order_rollout();
     let ordered = Instant::now();
@@ -405,7 +406,7 @@
 /// Each instance is killed in turn, so that the driver is killed at some step of the roll-out.
 #[tokio::test]
 async fn killed_drivers_leave_one_final_status_and_the_bound_holds() {
-    for new in [GOOD, Behaviour::Bad(Badness::failures(30))] {
+    for new in [GOOD, Behaviour::Faulty(FaultProfile::failures(30))] {
         let mut fleet = Fleet::start(new, 0).await;
         fleet.add_killable(3).await;
         fleet.spawn_callers();
@@ -423,11 +424,11 @@
 
 #[tokio::test]
 async fn an_instance_that_starts_after_the_end_knows_it() {
-    let mut fleet = Fleet::start(Behaviour::Bad(Badness::failures(40)), 2).await;
+    let mut fleet = Fleet::start(Behaviour::Faulty(FaultProfile::failures(40)), 2).await;
     fleet.start_callers();
     fleet.order_rollout();
     until(|| fleet.statuses().last().is_some_and(|it| it != "running")).await;
-    let gate = fleet.store.open_gate().await;
+    let gate = fleet.store.open_endpoint().await;
     let started = start_with_seeds("n-late", &gate, &fleet.seeds());
     until(|| started.rollout("plain") == Some(Phase::RolledBack)).await;
     let address = started.listen().callers.parse().unwrap();
--- a/crates/holdpointd/tests/silent.rs
+++ b/crates/holdpointd/tests/silent.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
-use crate::support::{System, start, start_instance, story, until};
+use crate::support::{System, event_stream, start, start_instance, until};
 
 /// Connections of callers that send nothing, or stop in the middle of a request head.
 const SILENT_CALLERS: usize = 150;
@@ -25,7 +25,7 @@
 ) -> (Target, Relay) {
     let target = Target::start(id, service, behaviour).await;
     let relay = Relay::start().await;
-    relay.lead_to(&target.address.to_string());
+    relay.forward_to(&target.address.to_string());
     let target = target.with_address(relay.address().parse().unwrap());
     let before = system.instance.target_count();
     system.store.put_target(&target, false);
@@ -37,9 +37,9 @@
     let callers = instance.listen().callers.parse().unwrap();
     for id in 0..6 {
         let request = CallerRequest::new(&format!("{name}-{id}"), path);
-        let answer = call(callers, request.with_pieces("1,1")).await.expect("the instance answers");
+        let answer = call(callers, request.with_items("1,1")).await.expect("the instance answers");
         assert_eq!(answer.status, StatusCode::OK, "{name}-{id}");
-        assert!(answer.is_whole);
+        assert!(answer.is_complete);
     }
 }
 
@@ -51,7 +51,7 @@
         assert_all_served(&system.instance, "before", "/safe/").await;
     }
     // Idle connections that are kept for reuse go silent too.
-    relay.lose(true, true);
+    relay.set_drops(true, true);
     assert_all_served(&system.instance, "after", "/safe/").await;
     // A request that may run only once is not repeated, and ends by its deadline.
     for id in 0..4 {
@@ -67,8 +67,8 @@
         let mut id = 0;
         while system.engines[0].runs().is_empty() {
             let answer = system.ask(&format!("r-{id}"), "/story/").await;
-            assert!(answer.is_whole, "{behaviour:?}");
-            assert_eq!(answer.body, story(0, 4));
+            assert!(answer.is_complete, "{behaviour:?}");
+            assert_eq!(answer.body, event_stream(0, 4));
             id += 1;
         }
     }
@@ -82,7 +82,7 @@
     while silent.batches().is_empty() {
         assert_all_served(&system.instance, "before", "/staged/").await;
     }
-    relay.lose(true, true);
+    relay.set_drops(true, true);
     assert_all_served(&system.instance, "after", "/staged/").await;
 }
 
@@ -92,21 +92,21 @@
     let system = start(&[Behaviour::Answer], &[Behaviour::Events(2)]).await;
     let to_target = start_behind_relay(&system, "i-silent", "plain", Behaviour::Answer).await;
     let to_peer = Relay::start().await;
-    to_peer.lead_to(&system.instance.listen().peers);
+    to_peer.forward_to(&system.instance.listen().peers);
     // With far more capacity than the other instance, so that it batches everything.
     system.store.put_instance("a", &format!("{} 1 8000 8000", to_peer.address()));
-    let gate = system.store.open_gate().await;
+    let gate = system.store.open_endpoint().await;
     let other = start_instance("b", &gate);
     until(|| other.is_ready() && other.peer_count() == 1 && other.target_count() == 4).await;
     assert_all_served(&other, "before", "/staged/").await;
     assert_eq!(system.encoder.batches().len(), 12);
-    to_target.1.lose(true, true);
-    to_peer.lose(true, true);
+    to_target.1.set_drops(true, true);
+    to_peer.set_drops(true, true);
     gate.set_outage(Outage::Silent);
     for path in ["/staged/", "/safe/", "/story/"] {
         assert_all_served(&other, path, path).await;
     }
-    to_peer.lose(false, false);
+    to_peer.set_drops(false, false);
     gate.set_outage(Outage::None);
     system.store.put_configuration(&sample_configuration(4));
     until(|| other.version() == 4).await;
@@ -119,7 +119,7 @@
     let system = start(&[Behaviour::Answer], &[]).await;
     let mut silent = Vec::new();
     for index in 0..SILENT_CALLERS {
-        let mut stream = TcpStream::connect(system.callers()).await.unwrap();
+        let mut stream = TcpStream::connect(system.caller_address()).await.unwrap();
         if index % 2 == 0 {
             stream.write_all(b"POST /safe/ HTTP/1.1\r\nhost: shop.exa").await.unwrap();
         }
--- a/crates/holdpointd/tests/slow_readers.rs
+++ b/crates/holdpointd/tests/slow_readers.rs
@@ -21,7 +21,7 @@
     net::{TcpSocket, TcpStream},
 };
 
-use crate::support::PATIENCE;
+use crate::support::CONDITION_TIMEOUT;
 
 /// Size of the large answers, in bytes: about sixty times what the daemon buffers of one.
 const LARGE_ANSWER_BYTES: usize = 2 << 20;
@@ -56,7 +56,7 @@
             "instance": name, "domain": "z1",
             "listen": { "callers": callers, "readiness": readiness, "peers": peers,
                 "metrics": metrics },
-            "store": { "address": store.gate.address.to_string(), "poll_ms": 50, "timeout_ms": 300 },
+            "store": { "address": store.endpoint.address.to_string(), "poll_ms": 50, "timeout_ms": 300 },
             "machine": { "memory_mb": 120.0 },
         });
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
@@ -95,7 +95,9 @@
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, ended).await.expect("the requests ended within the timeout");
+        tokio::time::timeout(CONDITION_TIMEOUT, ended)
+            .await
+            .expect("the requests ended within the timeout");
     }
 
     async fn until_serving(&self) {
@@ -111,7 +113,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, serving)
+        tokio::time::timeout(CONDITION_TIMEOUT, serving)
             .await
             .expect("the daemon serves requests within the timeout");
     }
@@ -184,7 +186,7 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, whole)
+    tokio::time::timeout(CONDITION_TIMEOUT, whole)
         .await
         .expect("the whole answer is read within the timeout");
     daemon.until_ended("safe", 3).await;
--- a/crates/holdpointd/tests/soak.rs
+++ b/crates/holdpointd/tests/soak.rs
@@ -13,7 +13,7 @@
         let plan = Plan::draw(seed, Duration::from_secs(3));
         let builds = Builds::new(env!("CARGO_BIN_EXE_holdpointd"));
         let verdict = run(&plan, &builds).await.unwrap();
-        assert!(verdict.is_kept(), "{verdict}");
+        assert!(verdict.is_passed(), "{verdict}");
         assert!(0 < verdict.answered);
     }
 }
@@ -37,5 +37,5 @@
     let plan = Plan::draw(seed, Duration::from_secs(6)).without_notices();
     let builds = Builds::new(env!("CARGO_BIN_EXE_holdpointd"));
     let verdict = run(&plan, &builds).await.unwrap();
-    assert!(verdict.is_kept(), "{verdict}");
+    assert!(verdict.is_passed(), "{verdict}");
 }
--- a/crates/holdpointd/tests/support/fleet.rs
+++ b/crates/holdpointd/tests/support/fleet.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use holdpoint_adapter_standin::{Behaviour, CallerAnswer, CallerRequest, Gate, call};
+use holdpoint_adapter_standin::{Behaviour, CallerAnswer, CallerRequest, Endpoint, call};
 use holdpointd::ingress::Ingress;
 use http::StatusCode;
 use tokio::task::JoinSet;
@@ -17,7 +17,7 @@
 
 pub struct Fleet {
     pub system: System,
-    pub others: Vec<(Ingress, Gate)>,
+    pub others: Vec<(Ingress, Endpoint)>,
 }
 
 /// A request and its answer, as seen by the caller.
@@ -32,7 +32,7 @@
 
 impl Exchange {
     pub fn is_served(&self) -> bool {
-        self.answer.status == StatusCode::OK && self.answer.is_whole
+        self.answer.status == StatusCode::OK && self.answer.is_complete
     }
 }
 
@@ -48,8 +48,8 @@
     }
 
     /// The gates through which the instances reach the store, in the order of the instances.
-    pub fn gates(&self) -> impl Iterator<Item = &Gate> {
-        std::iter::once(&self.system.store.gate).chain(self.others.iter().map(|it| &it.1))
+    pub fn gates(&self) -> impl Iterator<Item = &Endpoint> {
+        std::iter::once(&self.system.store.endpoint).chain(self.others.iter().map(|it| &it.1))
     }
 
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
--- a/crates/holdpointd/tests/support/mod.rs
+++ b/crates/holdpointd/tests/support/mod.rs
@@ -8,13 +8,13 @@
 use std::{net::SocketAddr, time::Duration};
 
 use holdpoint_adapter_standin::{
-    Behaviour, CallerAnswer, CallerRequest, Gate, Store, Target, call, sample_configuration,
+    Behaviour, CallerAnswer, CallerRequest, Endpoint, Store, Target, call, sample_configuration,
 };
 use holdpointd::ingress::Ingress;
 use serde_json::{Value, json};
 
 /// How long a test waits for a condition. Far longer than a passing test needs.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An instance with its store and targets.
 pub struct System {
@@ -25,24 +25,24 @@
     pub instance: Ingress,
 }
 
-pub fn start_instance(name: &str, gate: &Gate) -> Ingress {
+pub fn start_instance(name: &str, gate: &Endpoint) -> Ingress {
     start_with_seeds(name, gate, &[])
 }
 
 /// Starts an instance whose settings list the addresses of some peers.
-pub fn start_with_seeds(name: &str, gate: &Gate, seeds: &[String]) -> Ingress {
+pub fn start_with_seeds(name: &str, gate: &Endpoint, seeds: &[String]) -> Ingress {
     start_with_settings(settings(name, gate, seeds))
 }
 
 /// Starts an instance with a link of this many Mbit/s.
-pub fn start_linked(name: &str, gate: &Gate, link_mbps: f64) -> Ingress {
+pub fn start_linked(name: &str, gate: &Endpoint, link_mbps: f64) -> Ingress {
     let mut settings = settings(name, gate, &[]);
     settings["machine"] = json!({ "link_mbps": link_mbps });
     start_with_settings(settings)
 }
 
 /// Starts an instance in one of two regions: `z1` is in the east, `z2` in the north.
-pub fn start_in(name: &str, region: &str, domain: &str, gate: &Gate) -> Ingress {
+pub fn start_in_region(name: &str, region: &str, domain: &str, gate: &Endpoint) -> Ingress {
     let mut settings = settings(name, gate, &[]);
     settings["region"] = json!(region);
     settings["domain"] = json!(domain);
@@ -55,7 +55,7 @@
     Ingress::start(serde_json::from_value(settings).unwrap()).unwrap()
 }
 
-fn settings(name: &str, gate: &Gate, seeds: &[String]) -> Value {
+fn settings(name: &str, gate: &Endpoint, seeds: &[String]) -> Value {
     json!({
         "instance": name, "domain": "z1", "seeds": seeds,
         "listen": { "callers": "127.0.0.1:0", "readiness": "127.0.0.1:0", "peers": "127.0.0.1:0",
@@ -72,19 +72,19 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(CONDITION_TIMEOUT, wait)
         .await
         .expect("the condition became true within the timeout");
 }
 
 pub async fn start(plain: &[Behaviour], engines: &[Behaviour]) -> System {
-    start_at(|gate| start_instance("a", gate), |_| "z1", plain, engines).await
+    start_with_domains(|gate| start_instance("a", gate), |_| "z1", plain, engines).await
 }
 
 /// Starts a system. `instance` starts its instance, and `domain` returns the failure domain of a
 /// target by its index within the service.
-pub async fn start_at(
-    instance: impl FnOnce(&Gate) -> Ingress,
+pub async fn start_with_domains(
+    instance: impl FnOnce(&Endpoint) -> Ingress,
     domain: impl Fn(usize) -> &'static str,
     plain: &[Behaviour],
     engines: &[Behaviour],
@@ -95,7 +95,7 @@
         plain: Vec::new(),
         engines: Vec::new(),
         encoder: Target::start("i-encode", "encode", Behaviour::Answer).await,
-        instance: instance(&store.gate),
+        instance: instance(&store.endpoint),
         store,
     };
     for (index, it) in plain.iter().enumerate() {
@@ -116,15 +116,15 @@
 }
 
 impl System {
-    pub fn callers(&self) -> SocketAddr {
+    pub fn caller_address(&self) -> SocketAddr {
         self.instance.listen().callers.parse().unwrap()
     }
 
     /// Starts more instances, and waits until all have discovered each other and the targets.
-    pub async fn start_others(&self, names: &[&str]) -> Vec<(Ingress, Gate)> {
+    pub async fn start_others(&self, names: &[&str]) -> Vec<(Ingress, Endpoint)> {
         let mut others = Vec::new();
         for name in names {
-            let gate = self.store.open_gate().await;
+            let gate = self.store.open_endpoint().await;
             others.push((start_instance(name, &gate), gate));
         }
         let targets = self.plain.len() + self.engines.len() + 1;
@@ -140,7 +140,7 @@
     }
 
     pub async fn send(&self, request: CallerRequest) -> CallerAnswer {
-        call(self.callers(), request).await.expect("the instance answers")
+        call(self.caller_address(), request).await.expect("the instance answers")
     }
 
     pub fn plain_runs(&self) -> usize {
@@ -156,6 +156,6 @@
     answer.headers.get(name).map_or(String::new(), |it| it.to_str().unwrap().to_owned())
 }
 
-pub fn story(from: u64, to: u64) -> String {
+pub fn event_stream(from: u64, to: u64) -> String {
     (from..to).map(|it| format!("id: {it}\ndata: part {it}\n\n")).collect()
 }
--- a/crates/holdpointd/tests/suspended.rs
+++ b/crates/holdpointd/tests/suspended.rs
@@ -20,7 +20,7 @@
 async fn a_suspension_counts_as_time_that_has_passed() {
     let clock = Clock::new();
     let before = clock.now();
-    Instant::suspend(Duration::from_secs(5));
+    Instant::simulate_suspension(Duration::from_secs(5));
     assert!(before + 5000 <= clock.now());
 
     let system = start(&[Behaviour::RunAndHang], &[Behaviour::RunAndHang]).await;
@@ -28,7 +28,7 @@
     [0, 4].into_iter().for_each(|it| set_times(&mut configuration, it, DEADLINE_MS));
     system.store.put_configuration(&configuration);
     until(|| system.instance.version() == 2).await;
-    let callers = system.callers();
+    let callers = system.caller_address();
     let send = |id: &str, path: &str| {
         let deadline = DEADLINE_MS.to_string();
         let request = CallerRequest::new(id, path).with_header("holdpoint-deadline-ms", &deadline);
@@ -37,7 +37,7 @@
     let (whole, stream) = (send("r-1", "/safe/"), send("r-2", "/story/"));
     until(|| system.plain_runs() == 1 && system.engine_runs() == 1).await;
     let resumed = Steady::now();
-    Instant::suspend(Duration::from_millis(DEADLINE_MS));
+    Instant::simulate_suspension(Duration::from_millis(DEADLINE_MS));
     for (name, pending) in [("whole", whole), ("stream", stream)] {
         let answer = pending.await.unwrap().expect("the instance answers");
         assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT, "{name}");
