--- a/crates/holdpoint-core/benches/decisions.rs
+++ b/crates/holdpoint-core/benches/decisions.rs
@@ -5,11 +5,11 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use holdpoint_core::{
-    admit::{AdmissionRequest, Gate, Offer, Signal},
     batcher::Batcher,
     catalog::default_policy,
     cold::Share,
-    pieces::{CallEnd, CallProfile, QueuedItem},
+    concurrency::{AdmissionRequest, Gate, Offer, Signal},
+    items::{CallEnd, CallProfile, QueuedItem},
     route::{Call, Member, Router},
 };
 use rand::SeedableRng;
--- a/crates/holdpoint-core/src/admission.rs
+++ b/crates/holdpoint-core/src/admission.rs
@@ -6,9 +6,9 @@
 //! capacity suffices, and refused otherwise.
 
 use crate::{
+    admitted_work::{AdmittedWork, ChainEstimate, LaterStage},
     batcher::Batcher,
     ids::{Millis, Name},
-    promises::{AdmittedWork, ChainEstimate, LaterStage},
 };
 
 /// Safety margin between the expected end of the stages and their due time, in mean errors of the estimate.
--- a/crates/holdpoint-core/src/promises.rs
+++ b/crates/holdpoint-core/src/admitted_work.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     ids::{Millis, Name},
-    returns::RetryTimes,
+    retry_times::RetryTimes,
 };
 
 /// Maximum age of a load report, in milliseconds. A report comes every 250 ms, and two may be lost. Without a
--- a/crates/holdpoint-core/src/batcher/estimate.rs
+++ b/crates/holdpoint-core/src/batcher/estimate.rs
@@ -2,9 +2,9 @@
 
 use super::{Batcher, targets::Target};
 use crate::{
+    admitted_work::StageLoad,
     ids::Millis,
-    pieces::{Call, QueuedItem},
-    promises::StageLoad,
+    items::{Call, QueuedItem},
 };
 
 /// Fraction of the targets' time that may be lent to other regions; the rest is a reserve for
--- a/crates/holdpoint-core/src/batcher/mod.rs
+++ b/crates/holdpoint-core/src/batcher/mod.rs
@@ -22,8 +22,8 @@
     deadline::RecentRate,
     directory::TargetId,
     ids::Millis,
-    pieces::{Call, CallProfile, QueuedItem, Ticket},
-    returns::RetryTimes,
+    items::{Call, CallProfile, QueuedItem, Ticket},
+    retry_times::RetryTimes,
 };
 
 pub use self::estimate::PredictionSample;
--- a/crates/holdpoint-core/src/batcher/near.rs
+++ b/crates/holdpoint-core/src/batcher/near.rs
@@ -5,7 +5,7 @@
 //! shorter by more than the time of a full call. So equally loaded domains exchange few items, and a
 //! domain that lost its targets gets help.
 
-use crate::{ids::Millis, pieces::CallProfile};
+use crate::{ids::Millis, items::CallProfile};
 
 /// Margin before the due time by which a target in the item's own domain must finish, in
 /// milliseconds; calls often end later than their nominal time.
--- a/crates/holdpoint-core/src/batcher/pack.rs
+++ b/crates/holdpoint-core/src/batcher/pack.rs
@@ -7,7 +7,7 @@
     near::{DomainItem, DomainQueues},
     targets::{SLOW_RATIO, Target},
 };
-use crate::{directory::TargetId, ids::Millis, pieces::QueuedItem};
+use crate::{directory::TargetId, ids::Millis, items::QueuedItem};
 
 /// Bytes to move between failure domains below which an item has no preferred one.
 const MIN_NEAR_BYTES: u64 = 200_000;
--- a/crates/holdpoint-core/src/batcher/queue.rs
+++ b/crates/holdpoint-core/src/batcher/queue.rs
@@ -5,7 +5,7 @@
 use super::Batcher;
 use crate::{
     ids::Millis,
-    pieces::{QueuedItem, Ticket},
+    items::{QueuedItem, Ticket},
 };
 
 impl Batcher {
--- a/crates/holdpoint-core/src/batcher/regions.rs
+++ b/crates/holdpoint-core/src/batcher/regions.rs
@@ -7,7 +7,7 @@
 use crate::{
     confinement::{Bounds, is_within},
     directory::TargetId,
-    pieces::{QueuedItem, Ticket},
+    items::{QueuedItem, Ticket},
 };
 
 impl Batcher {
--- a/crates/holdpoint-core/src/batcher/targets.rs
+++ b/crates/holdpoint-core/src/batcher/targets.rs
@@ -8,8 +8,8 @@
     choice::Load,
     directory::TargetId,
     ids::Millis,
-    pieces::{Call, CallEnd},
-    told_pace::ReportedPace,
+    items::{Call, CallEnd},
+    reported_pace::ReportedPace,
 };
 
 /// How long a target gets no calls after a failure, in milliseconds; doubled with each further
--- a/crates/holdpoint-core/src/directory.rs
+++ b/crates/holdpoint-core/src/directory.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::{
-    era::LOST_TAIL_MS,
+    epoch::LOST_TAIL_MS,
     ids::{Millis, Name},
 };
 
--- a/crates/holdpoint-core/src/evacuation.rs
+++ b/crates/holdpoint-core/src/evacuation.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    era::{Epoch, Position, SETTLE_MS},
+    epoch::{Epoch, Position, SETTLE_MS},
     ids::{Millis, Name},
 };
 
--- a/crates/holdpoint-core/src/rollout/order.rs
+++ b/crates/holdpoint-core/src/rollout/order.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    era::{Epoch, Position, SETTLE_MS},
+    epoch::{Epoch, Position, SETTLE_MS},
     evacuation::LogOffset,
     ids::{Millis, Name},
 };
--- a/crates/holdpoint-core/src/route.rs
+++ b/crates/holdpoint-core/src/route.rs
@@ -16,12 +16,12 @@
 
 pub use crate::choice::{Call, CallOutcome, Choice, Load, Member, NoTarget, Reason};
 use crate::{
-    admit::Signal,
     cold::{ColdBucket, Share},
+    concurrency::Signal,
     confinement::is_within,
     ids::Millis,
+    reported_pace::ReportedPace,
     subset::weight,
-    told_pace::ReportedPace,
     topology::Topology,
 };
 
--- a/crates/holdpoint-core/tests/promises.rs
+++ b/crates/holdpoint-core/tests/admitted_work.rs
@@ -2,10 +2,10 @@
 
 use holdpoint_core::{
     admission::{FirstStageRequest, Objective, Verdict, decide},
+    admitted_work::{AdmittedWork, LaterStage, StageLoad},
     batcher::Batcher,
     ingress::StageStep,
-    pieces::{CallEnd, CallProfile, QueuedItem},
-    promises::{AdmittedWork, LaterStage, StageLoad},
+    items::{CallEnd, CallProfile, QueuedItem},
     stage_graph::StageGraph,
 };
 
--- a/crates/holdpoint-core/tests/batcher.rs
+++ b/crates/holdpoint-core/tests/batcher.rs
@@ -7,7 +7,7 @@
     batcher::Batcher,
     choice::Load,
     ingress::StageStep,
-    pieces::{Call, CallEnd, CallProfile, QueuedItem},
+    items::{Call, CallEnd, CallProfile, QueuedItem},
     stage_graph::StageGraph,
 };
 use proptest::prelude::*;
--- a/crates/holdpoint-core/tests/confinement.rs
+++ b/crates/holdpoint-core/tests/confinement.rs
@@ -10,7 +10,7 @@
     confinement::{Confinement, Within},
     ids::Name,
     ingress::{CallerLimits, Configuration, IngressRoute, Repeat, ResponseKind, Tenancy},
-    pieces::{CallEnd, CallProfile, QueuedItem},
+    items::{CallEnd, CallProfile, QueuedItem},
     regions::ServiceRegions,
     route::Router,
     topology::Topology,
--- a/crates/holdpoint-core/tests/estimate.rs
+++ b/crates/holdpoint-core/tests/estimate.rs
@@ -3,7 +3,7 @@
 
 use holdpoint_core::{
     batcher::Batcher,
-    pieces::{CallEnd, CallProfile, QueuedItem},
+    items::{CallEnd, CallProfile, QueuedItem},
 };
 
 const SIZES: CallProfile = CallProfile {
--- a/crates/holdpoint-core/tests/evacuation.rs
+++ b/crates/holdpoint-core/tests/evacuation.rs
@@ -1,7 +1,7 @@
 //! Evacuation orders for failure domains. Guards against an instance whose state matches no prefix of the log of
 //! orders, or falls back to an older one, whichever way it receives updates.
 
-use holdpoint_core::era::Position;
+use holdpoint_core::epoch::Position;
 use holdpoint_core::evacuation::{Evacuations, LogOffset, Order};
 use proptest::prelude::*;
 
--- a/crates/holdpoint-core/tests/laws.rs
+++ b/crates/holdpoint-core/tests/laws.rs
@@ -3,10 +3,10 @@
 use std::collections::HashSet;
 
 use holdpoint_core::{
-    admit::{AdmissionRequest, Gate, Offer, Signal},
     assemble::{Assembler, Progress},
     catalog::default_policy,
     cold::Share,
+    concurrency::{AdmissionRequest, Gate, Offer, Signal},
     deadline::{Budget, Times, budget},
     ids::AttemptId,
     ledger::Ledger,
--- a/crates/holdpoint-core/tests/near_results.rs
+++ b/crates/holdpoint-core/tests/near_results.rs
@@ -3,7 +3,7 @@
 use holdpoint_core::{
     batcher::Batcher,
     cold::Share,
-    pieces::{Call as ItemCall, CallEnd, CallProfile, QueuedItem},
+    items::{Call as ItemCall, CallEnd, CallProfile, QueuedItem},
     route::{Call, CallOutcome, Member, Router},
 };
 use holdpoint_schema::resources::{Policy, Route};
--- a/crates/holdpoint-core/tests/told_pace.rs
+++ b/crates/holdpoint-core/tests/reported_pace.rs
@@ -5,9 +5,9 @@
     batcher::Batcher,
     catalog::default_policy,
     choice::Load,
-    pieces::{CallProfile, QueuedItem},
+    items::{CallProfile, QueuedItem},
+    reported_pace::ReportedPace,
     route::{Call, CallOutcome, Member, Router},
-    told_pace::ReportedPace,
 };
 use holdpoint_schema::resources::{Policy, Route};
 use rand::{RngExt, SeedableRng};
--- a/crates/holdpoint-core/tests/rollout.rs
+++ b/crates/holdpoint-core/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Roll-outs: orders, exposure, verdicts and phases, alone and in random simulations.
 
 use holdpoint_core::{
-    era::Position,
+    epoch::Position,
     ids::Millis,
     rollout::{
         Answer, Bound, InstanceReport, Judge, Observations, Order, OrderRecord, Orders, Phase,
--- a/crates/holdpoint-core/tests/support/chain.rs
+++ b/crates/holdpoint-core/tests/support/chain.rs
@@ -7,9 +7,9 @@
 
 use holdpoint_core::{
     admission::{FirstStageRequest, Objective, Verdict, decide},
+    admitted_work::{AdmittedWork, LaterStage},
     batcher::Batcher,
-    pieces::{Call, CallEnd, CallProfile, QueuedItem},
-    promises::{AdmittedWork, LaterStage},
+    items::{Call, CallEnd, CallProfile, QueuedItem},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/holdpoint-emulator/src/capacity.rs
+++ b/crates/holdpoint-emulator/src/capacity.rs
@@ -4,10 +4,10 @@
 use std::{collections::HashMap, hint::black_box, pin::Pin, time::Instant};
 
 use holdpoint_core::{
-    admit::{AdmissionRequest, Gate, Offer, Signal},
     catalog::{Catalog, default_policy},
     claims::{ClaimTable, Claimant},
     cold::Share,
+    concurrency::{AdmissionRequest, Gate, Offer, Signal},
     fold::{Effect, State},
     ids::sha256_hex,
     membership::View,
--- a/crates/holdpoint-emulator/src/policies/run.rs
+++ b/crates/holdpoint-emulator/src/policies/run.rs
@@ -6,8 +6,8 @@
 };
 
 use holdpoint_core::{
-    admit::{AdmissionRequest, Gate, Offer, Signal, Ticket},
     cold::Share,
+    concurrency::{AdmissionRequest, Gate, Offer, Signal, Ticket},
     deadline::{Budget, Times, budget},
     retry::RetryBudget,
     route::{Call, CallOutcome, Load, Member, Router},
--- a/crates/holdpointd/src/ingress/batches.rs
+++ b/crates/holdpointd/src/ingress/batches.rs
@@ -20,13 +20,13 @@
 
 use futures::{StreamExt, stream::FuturesUnordered};
 use holdpoint_core::{
+    admitted_work::{AdmittedWork, StageLoad},
     batcher::{Batcher, PredictionSample},
     directory::{Directory, TargetId, TargetInstance},
     evacuation::Evacuations,
     ids::{Millis, Name},
     ingress::Service,
-    pieces::{Call, CallEnd, CallProfile, QueuedItem, Ticket},
-    promises::{AdmittedWork, StageLoad},
+    items::{Call, CallEnd, CallProfile, QueuedItem, Ticket},
     rollout::Lane,
     route::Load,
     stage_graph::{NoResult, WorkItem},
@@ -41,8 +41,8 @@
     ingress::{
         attempts::NONE_LEFT_RETRY_MS,
         backoff, confinement,
+        item_request::{ItemRequest, ItemResult},
         limits::{self, Permit},
-        piece_ask::{ItemRequest, ItemResult},
         regions::own_batcher_of,
         shared::IngressShared,
     },
--- a/crates/holdpointd/src/ingress/batches/admit.rs
+++ b/crates/holdpointd/src/ingress/batches/admit.rs
@@ -2,16 +2,16 @@
 
 use holdpoint_core::{
     admission::{FirstStageRequest, Objective, Verdict, decide},
+    admitted_work::{AdmittedWork, ChainEstimate},
     batcher::Batcher,
     ids::Millis,
-    pieces::{QueuedItem, Ticket},
-    promises::{AdmittedWork, ChainEstimate},
+    items::{QueuedItem, Ticket},
     stage_graph::NoResult,
 };
 
 use crate::{
     events::{self, emit},
-    ingress::{piece_ask::ItemRequest, shared::IngressShared},
+    ingress::{item_request::ItemRequest, shared::IngressShared},
 };
 
 /// Refuses the items of a request that has used no capacity yet and would miss its time limits.
--- a/crates/holdpointd/src/ingress/batches/calls.rs
+++ b/crates/holdpointd/src/ingress/batches/calls.rs
@@ -12,7 +12,7 @@
     batcher::PredictionSample,
     directory::TargetInstance,
     ids::{Millis, Name},
-    pieces::{Call, CallEnd, QueuedItem},
+    items::{Call, CallEnd, QueuedItem},
     quarantine::Fingerprint,
     rollout::Answer,
     stage_graph::NoResult,
@@ -24,8 +24,8 @@
     events::{self, emit},
     ingress::{
         gate::{Payload, SendBlock},
+        item_request::ItemResult,
         limits::{self, Permit},
-        piece_ask::ItemResult,
         send::{InternalCall, InternalCallError, internal_call, time_until},
         shared::IngressShared,
         stages::INPUT_FETCH_TIME,
--- a/crates/holdpointd/src/ingress/batches/inputs.rs
+++ b/crates/holdpointd/src/ingress/batches/inputs.rs
@@ -5,7 +5,7 @@
 use holdpoint_core::{confinement::Within, ids::Name, quarantine::Fingerprint};
 use parking_lot::Mutex;
 
-use crate::ingress::{piece_ask::ItemRequest, shared::IngressShared};
+use crate::ingress::{item_request::ItemRequest, shared::IngressShared};
 
 /// State shared by items that were requested together.
 #[derive(Debug)]
--- a/crates/holdpointd/src/ingress/batches/refusals.rs
+++ b/crates/holdpointd/src/ingress/batches/refusals.rs
@@ -9,7 +9,7 @@
         attempts::NONE_LEFT_RETRY_MS,
         backoff,
         confinement::{RETRY_AFTER_MS, log_refused},
-        piece_ask::ItemRequest,
+        item_request::ItemRequest,
         shared::IngressShared,
     },
 };
--- a/crates/holdpointd/src/ingress/confirm.rs
+++ b/crates/holdpointd/src/ingress/confirm.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     events::{self, emit},
-    ingress::{follow, shared::IngressShared, watch},
+    ingress::{follow, shared::IngressShared, store_reader},
 };
 
 /// Validity of a confirmation. Longer than the interval of updates to followers, so that denials usually
@@ -76,7 +76,7 @@
         shared.confirmation.record(started_at);
         return;
     }
-    watch::read_configuration(shared).await;
+    store_reader::read_configuration(shared).await;
     if !shared.confirmation.is_confirmed_since(started_at.max(1)) {
         let detail = format!("version={}", shared.configuration().version);
         emit(events::UNCONFIRMED, &shared.settings.instance, &detail);
--- a/crates/holdpointd/src/ingress/domains.rs
+++ b/crates/holdpointd/src/ingress/domains.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use holdpoint_core::{
-    era::Position,
+    epoch::Position,
     evacuation::{DomainChange, Evacuations},
     ids::Millis,
 };
--- a/crates/holdpointd/src/ingress/follow.rs
+++ b/crates/holdpointd/src/ingress/follow.rs
@@ -16,12 +16,12 @@
     events::{self, emit},
     ingress::{
         domains,
-        intake::{UpdateOutcome, apply_configuration, apply_update, decode_or_log},
-        news::{Content, FollowPosition, FollowRequest, MAX_WAIT, TargetList, Update},
         peers::{Leaders, Sources},
         rollouts,
         shared::IngressShared,
-        watch,
+        store_reader,
+        update_feed::{Content, FollowPosition, FollowRequest, MAX_WAIT, TargetList, Update},
+        updates::{UpdateOutcome, apply_configuration, apply_update, decode_or_log},
     },
 };
 
@@ -299,7 +299,7 @@
         if version <= shared.configuration().version {
             return;
         }
-        watch::read_configuration(&shared).await;
+        store_reader::read_configuration(&shared).await;
         if shared.configuration().version < version {
             ask_configuration(&shared, &address, true, LARGE_CONFIGURATION_TIMEOUT).await;
         }
--- a/crates/holdpointd/src/ingress/gate.rs
+++ b/crates/holdpointd/src/ingress/gate.rs
@@ -10,8 +10,8 @@
     confinement::{Within, is_within},
     directory::TargetInstance,
     ids::Millis,
-    notice::{Backoff, TargetStatus},
     target_limits::NamedLimit,
+    target_status::{Backoff, TargetStatus},
 };
 use http::{Request, Response};
 use http_body_util::Full;
@@ -21,7 +21,7 @@
     events::{self, emit},
     ingress::{
         connections::Connection,
-        departures::{self, DrainNotice},
+        drain_notices::{self, DrainNotice},
         limits::Permit,
         shared::IngressShared,
     },
@@ -169,7 +169,7 @@
         }
     }
     if notice.is_draining {
-        departures::record_drain_answer(shared, target);
+        drain_notices::record_drain_answer(shared, target);
     }
     match &notice.backoff {
         Backoff::None => (),
--- a/crates/holdpointd/src/ingress/piece_ask.rs
+++ b/crates/holdpointd/src/ingress/item_request.rs
@@ -1,9 +1,9 @@
 //! Requests for work items to the instance that batches for a service, and their results.
 
 use holdpoint_core::{
+    admitted_work::LaterStage,
     confinement::Confinement,
     ids::{Millis, Name},
-    promises::LaterStage,
     quarantine::Fingerprint,
     stage_graph::{NoResult, WorkItem},
 };
--- a/crates/holdpointd/src/ingress/links.rs
+++ b/crates/holdpointd/src/ingress/links.rs
@@ -29,7 +29,7 @@
         batches::StageLoads,
         connections::set_socket_options,
         follow::fetch_configuration,
-        heard::{LastReceived, MonitoredStream},
+        monitored_stream::{LastReceived, MonitoredStream},
         peer_service::{IngressPeersClient, PeerStatus, codec},
         shared::IngressShared,
     },
--- a/crates/holdpointd/src/ingress/mod.rs
+++ b/crates/holdpointd/src/ingress/mod.rs
@@ -5,6 +5,7 @@
 //! state. Decision logic is in `holdpoint-core`, names that the platform defines are in
 //! `holdpoint-adapter`.
 
+mod active_resources;
 mod answer;
 mod attempts;
 mod backoff;
@@ -14,22 +15,18 @@
 mod confirm;
 mod connections;
 mod context;
-mod declared;
-mod departures;
 mod domains;
+mod drain_notices;
 mod follow;
-mod front;
 mod gate;
-mod heard;
-mod held;
-mod intake;
+mod item_request;
 mod limits;
 mod links;
-mod news;
+mod listeners;
+mod monitored_stream;
 mod packed;
 mod peer_service;
 mod peers;
-mod piece_ask;
 mod pools;
 mod quarantine;
 mod regions;
@@ -39,11 +36,14 @@
 mod send;
 mod shared;
 mod spill;
+mod stage_results;
 mod stages;
 mod store;
+mod store_reader;
 mod stream;
 mod unread;
-mod watch;
+mod update_feed;
+mod updates;
 mod whole;
 
 use std::{
@@ -94,18 +94,18 @@
         let metrics = bind_metrics(&settings.instance, listen);
         let listen = settings.listen.clone();
         let shared = Arc::new(IngressShared::new(settings));
-        tokio::spawn(watch::follow_configuration(shared.clone()));
-        tokio::spawn(watch::follow_targets(shared.clone()));
-        tokio::spawn(watch::follow_resources(shared.clone()));
-        tokio::spawn(watch::follow_peers(shared.clone()));
-        tokio::spawn(watch::rewrite_records(shared.clone()));
+        tokio::spawn(store_reader::follow_configuration(shared.clone()));
+        tokio::spawn(store_reader::follow_targets(shared.clone()));
+        tokio::spawn(store_reader::follow_resources(shared.clone()));
+        tokio::spawn(store_reader::follow_peers(shared.clone()));
+        tokio::spawn(store_reader::rewrite_records(shared.clone()));
         tokio::spawn(follow::run(shared.clone()));
         tokio::spawn(follow::resolve_lapses(shared.clone()));
         tokio::spawn(peer_service::serve(shared.clone(), peers));
-        tokio::spawn(front::readiness(shared.clone(), readiness));
-        tokio::spawn(front::callers(shared.clone(), callers));
+        tokio::spawn(listeners::readiness(shared.clone(), readiness));
+        tokio::spawn(listeners::callers(shared.clone(), callers));
         if let Some(it) = metrics {
-            tokio::spawn(front::metrics(shared.clone(), it));
+            tokio::spawn(listeners::metrics(shared.clone(), it));
         }
         tokio::spawn(releases::run(shared.clone()));
         if shared.topology.has_regions() {
@@ -114,7 +114,7 @@
         tokio::spawn(rollouts::run(shared.clone()));
         tokio::spawn(quarantine::run(shared.clone()));
         tokio::spawn(limits::run(shared.clone()));
-        tokio::spawn(departures::run(shared.clone()));
+        tokio::spawn(drain_notices::run(shared.clone()));
         tokio::spawn(tick(shared.clone()));
         emit(events::STARTED, &shared.settings.instance, &format!("callers={}", listen.callers));
         Ok(Ingress { shared })
@@ -179,7 +179,7 @@
         shared.peers.start_draining();
         let deregistration = tokio::spawn({
             let shared = shared.clone();
-            async move { watch::remove_own_entry(&shared).await }
+            async move { store_reader::remove_own_entry(&shared).await }
         });
         sleep(Duration::from_millis(timing.linger_ms).min(grace)).await;
         shared.closing.send_replace(true);
--- a/crates/holdpointd/src/ingress/packed.rs
+++ b/crates/holdpointd/src/ingress/packed.rs
@@ -20,9 +20,9 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::ingress::{
-    news::StateChange,
     peers::Peer,
     shared::{IngressShared, ListKey},
+    update_feed::StateChange,
 };
 
 /// Maximum size of unpacked data. The rest is cut off, so that a small message cannot exhaust the memory.
--- a/crates/holdpointd/src/ingress/peer_service.rs
+++ b/crates/holdpointd/src/ingress/peer_service.rs
@@ -6,12 +6,12 @@
 use futures::StreamExt;
 use holdpoint_adapter::stages;
 use holdpoint_core::{
+    admitted_work::StageLoad,
     cold::Share,
     confinement::{Bounds, Confinement},
     directory::TargetId,
     ids::{Millis, Name},
     ingress::Version,
-    promises::StageLoad,
     quarantine::Verdict,
     route::Call,
     spill::Lease,
@@ -30,15 +30,15 @@
 use crate::ingress::{
     batches::StageLoads,
     connections::set_socket_options,
-    departures::{self, DrainNotice},
+    drain_notices::{self, DrainNotice},
     follow::fetch_configuration,
+    item_request::{ItemRequest, ItemResult},
     limits::{self, Assignment},
-    news::{self, FollowRequest, Update},
-    piece_ask::{ItemRequest, ItemResult},
     quarantine::{self, RunReport},
     releases::notify_makers,
     rollouts::{self, DriverAnswer, RolloutReport},
     shared::IngressShared,
+    update_feed::{self, FollowRequest, Update},
 };
 
 /// Largest message between peers.
@@ -228,7 +228,7 @@
         let shared = self.shared.clone();
         let results = self.make(context, service, asks).await;
         let makers = results.iter().flatten().filter_map(|it| stages::producer(it));
-        let departures = departures::notices_for(&shared, makers);
+        let departures = drain_notices::notices_for(&shared, makers);
         ItemResults { results, departures }
     }
 
@@ -237,7 +237,7 @@
         _: context::Context,
         news: Vec<DrainNotice>,
     ) -> Vec<DrainNotice> {
-        departures::exchange_notices(&self.shared, news)
+        drain_notices::exchange_notices(&self.shared, news)
     }
 
     async fn place(
@@ -322,7 +322,7 @@
     }
 
     async fn follow(self, _: context::Context, known: FollowRequest) -> Update {
-        news::respond(&self.shared, known).await
+        update_feed::respond(&self.shared, known).await
     }
 }
 
--- a/crates/holdpointd/src/ingress/peers/calls.rs
+++ b/crates/holdpointd/src/ingress/peers/calls.rs
@@ -16,16 +16,16 @@
 
 use super::{Peers, TARGET_CHOICE_TIMEOUT};
 use crate::ingress::{
-    departures::{self, DrainNotice},
+    drain_notices::{self, DrainNotice},
+    item_request::{ItemRequest, ItemResult},
     limits::Assignment,
     links::{PeerSilent, context_for},
-    news::{FollowRequest, Update},
     peer_service::{DRAIN_PROTOCOL, IngressPeersClient, LENDING_PROTOCOL, PromptRequest},
-    piece_ask::{ItemRequest, ItemResult},
     quarantine::RunReport,
     regions::owner_of,
     rollouts::{DriverAnswer, RolloutReport},
     shared::IngressShared,
+    update_feed::{FollowRequest, Update},
 };
 
 /// Time limit of a call from which on its response may be large, so that its connection is given more time
@@ -56,7 +56,7 @@
                 return link.client.make(context, service, asks).await;
             }
             let response = link.client.make_pieces(context, service, asks).await?;
-            departures::apply_notices(shared, response.departures);
+            drain_notices::apply_notices(shared, response.departures);
             Ok(response.results)
         };
         let answer = tokio::select! {
--- a/crates/holdpointd/src/ingress/pools.rs
+++ b/crates/holdpointd/src/ingress/pools.rs
@@ -16,7 +16,7 @@
     evacuation::Evacuations,
     ids::{Millis, Name},
     ingress::Configuration,
-    returns::RetryTimes,
+    retry_times::RetryTimes,
     route::{Call, CallOutcome, Choice, Load, Member, NoTarget, Router},
     topology::Topology,
 };
--- a/crates/holdpointd/src/ingress/quarantine.rs
+++ b/crates/holdpointd/src/ingress/quarantine.rs
@@ -16,7 +16,7 @@
 use holdpoint_adapter::store::RESOURCES_TOPIC;
 use holdpoint_core::{
     directory::TargetInstance,
-    era::LOST_TAIL_MS,
+    epoch::LOST_TAIL_MS,
     ids::{Millis, Name},
     quarantine::{
         CrashedRun, Fingerprint, Incarnation, KEY_PREFIX, QUARANTINE_MS, Quarantine, SuccessEffect,
--- a/crates/holdpointd/src/ingress/rollouts.rs
+++ b/crates/holdpointd/src/ingress/rollouts.rs
@@ -19,7 +19,7 @@
 use holdpoint_adapter::{rollouts::parse_order, store::KeyedRecord};
 use holdpoint_core::{
     directory::{Directory, TargetId, TargetInstance},
-    era::Position,
+    epoch::Position,
     evacuation::{Evacuations, LogOffset},
     ids::{Millis, Name},
     rollout::{
--- a/crates/holdpointd/src/ingress/stages.rs
+++ b/crates/holdpointd/src/ingress/stages.rs
@@ -8,9 +8,9 @@
 use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
 use holdpoint_adapter::stages as wire;
 use holdpoint_core::{
+    admitted_work::LaterStage,
     confinement::{Confinement, Within},
     ids::{Millis, Name},
-    promises::LaterStage,
     stage_graph::{ItemSource, NoResult, StageGraph, WorkItem},
 };
 
@@ -20,11 +20,11 @@
     events::{self, emit},
     ingress::{
         context::Context,
-        held::{StageResults, StoredResults},
+        item_request::{ItemRequest, ItemResult, LaterStages},
         peers::process_anywhere,
-        piece_ask::{ItemRequest, ItemResult, LaterStages},
         send::time_until,
         spill,
+        stage_results::{StageResults, StoredResults},
     },
 };
 
--- a/crates/holdpointd/src/ingress/store.rs
+++ b/crates/holdpointd/src/ingress/store.rs
@@ -8,7 +8,7 @@
     KeyedRecord, ReadPage, append_at_path, append_body, append_path, epoch, newest_path,
     parse_newest, parse_read, read_path,
 };
-use holdpoint_core::era::{Epoch, EpochOrder, Position, SETTLE_MS, compare_epochs};
+use holdpoint_core::epoch::{Epoch, EpochOrder, Position, SETTLE_MS, compare_epochs};
 use holdpoint_platform::Instant;
 use http::{HeaderValue, Method, Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
--- a/crates/holdpointd/src/ingress/watch.rs
+++ b/crates/holdpointd/src/ingress/store_reader.rs
@@ -15,7 +15,7 @@
 };
 use holdpoint_core::{
     directory::{Change, Directory, TargetId, TargetInstance},
-    era::{Epoch, LOST_TAIL_MS, Position},
+    epoch::{Epoch, LOST_TAIL_MS, Position},
     evacuation::{Evacuations, Order},
     ids::Millis,
 };
--- a/crates/holdpointd/src/ingress/news.rs
+++ b/crates/holdpointd/src/ingress/update_feed.rs
@@ -12,7 +12,7 @@
 use holdpoint_core::{
     change_log::Revision,
     directory::{Directory, TargetId, TargetInstance},
-    era::{Epoch, Position},
+    epoch::{Epoch, Position},
     evacuation::{Evacuations, LogOffset},
     ids::{Millis, Name},
     ingress::Version,
--- a/crates/holdpointd/src/ingress/intake.rs
+++ b/crates/holdpointd/src/ingress/updates.rs
@@ -6,18 +6,18 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use holdpoint_core::{era::EpochOrder, ids::Name};
+use holdpoint_core::{epoch::EpochOrder, ids::Name};
 use serde::de::DeserializeOwned;
 
 use crate::{
     events::{self, emit},
     ingress::{
         domains,
-        news::{Content, StateChange, TargetList, Update},
         packed::{UnpackError, decompress, unpack},
         peers::Peer,
         rollouts,
         shared::IngressShared,
+        update_feed::{Content, StateChange, TargetList, Update},
     },
 };
 
--- a/crates/holdpointd/src/traffic/admission.rs
+++ b/crates/holdpointd/src/traffic/admission.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use holdpoint_core::{
-    admit::{AdmissionRequest, Gate, Offer, Refusal, Signal, Ticket},
+    concurrency::{AdmissionRequest, Gate, Offer, Refusal, Signal, Ticket},
     ids::{Millis, Name},
 };
 use parking_lot::Mutex;
--- a/crates/holdpointd/src/traffic/callers.rs
+++ b/crates/holdpointd/src/traffic/callers.rs
@@ -14,10 +14,10 @@
     routing::{get, post},
 };
 use holdpoint_core::{
-    admit::{AdmissionRequest, Refusal},
     burn::Cause,
     catalog::Versioned,
     claims::{BadKey, check_key},
+    concurrency::{AdmissionRequest, Refusal},
     ids::{Millis, Name, sha256_hex},
     ledger::Ledger,
     pipeline::Graph,
--- a/crates/holdpointd/src/traffic/job.rs
+++ b/crates/holdpointd/src/traffic/job.rs
@@ -7,9 +7,9 @@
 
 use futures::{StreamExt, stream::FuturesUnordered};
 use holdpoint_core::{
-    admit::Signal,
     burn::Cause,
     catalog::Versioned,
+    concurrency::Signal,
     ids::{Millis, Name, Offset},
     ledger::Ledger,
     pipeline::{Graph, inputs},
