--- a/crates/holdpoint-core/src/admission.rs
+++ b/crates/holdpoint-core/src/admission.rs
@@ -2,7 +2,7 @@
 //!
 //! The batcher of the first stage decides, before any work is done for the request. It estimates its own
 //! queue, then the queues of the later stages from the work already admitted to them
-//! ([`crate::promises`]). A request expected in time is admitted. Another is admitted late where the spare
+//! ([`crate::admitted_work`]). A request expected in time is admitted. Another is admitted late where the spare
 //! capacity suffices, and refused otherwise.
 
 use crate::{
--- a/crates/holdpoint-core/src/batcher/mod.rs
+++ b/crates/holdpoint-core/src/batcher/mod.rs
@@ -152,7 +152,7 @@
         self.targets.values().filter(|it| !it.is_closed).count()
     }
 
-    /// Returns the next call to make, if any. The caller must report its end to [`Batcher::ended`].
+    /// Returns the next call to make, if any. The caller must report its end to [`Batcher::record_end`].
     pub fn next(&mut self, now: Millis) -> Option<Call> {
         self.evict_expired(now);
         if self.waiting.is_empty() {
@@ -171,7 +171,7 @@
         let used_bytes = chosen.used_bytes;
         let is_shared = now < chosen.shared_until;
         let (left, sizes) = (self.waiting.len(), self.sizes);
-        Some(Call { target, items: items, left, used_bytes, sizes, is_shared })
+        Some(Call { target, items, left, used_bytes, sizes, is_shared })
     }
 
     /// Removes the items at the given ascending indices from the queue, in one pass.
--- a/crates/holdpoint-core/src/ingress.rs
+++ b/crates/holdpoint-core/src/ingress.rs
@@ -1,7 +1,7 @@
 //! The ingress configuration: which service answers a request, under which limits.
 //!
 //! A [`Configuration`] is one complete, immutable version. Routes are found by host and longest path
-//! prefix, organisations by their key. An instance replaces its version only if [`newer`] allows it, so it
+//! prefix, organisations by their key. An instance replaces its version only if [`is_newer`] allows it, so it
 //! never returns to an older one.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
--- a/crates/holdpoint-core/src/quarantine.rs
+++ b/crates/holdpoint-core/src/quarantine.rs
@@ -136,7 +136,7 @@
 ///
 /// When a target crashes, all requests that ran there are suspects. The one at fault also crashes the next
 /// target, while its neighbours succeed elsewhere, which clears them. A request is quarantined once
-/// [`ENDS`] incarnations of targets have crashed under it without a success in between, unless all of
+/// [`QUARANTINE_CRASHES`] incarnations of targets have crashed under it without a success in between, unless all of
 /// those crashes are explained by a request that is already quarantined.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
--- a/crates/holdpoint-core/src/rollout/gate.rs
+++ b/crates/holdpoint-core/src/rollout/gate.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the lane for `count` requests that are sent together. If they go to the new version, the
-    /// caller must count them by [`Gate::exposed`].
+    /// caller must count them by [`Gate::count_exposed`].
     pub fn lane_for(&self, now: Millis, count: u64, has_old: bool) -> Lane {
         let new_or_old = |is_new| if is_new { Lane::New } else { Lane::Old };
         match self.phase(now) {
@@ -161,7 +161,7 @@
         self.exposure.exposed += count;
     }
 
-    /// Counts a request that starts at an old target, until [`Gate::old_ended`].
+    /// Counts a request that starts at an old target, until [`Gate::end_old`].
     pub fn begin_old(&mut self) {
         self.old_running += 1;
     }
--- a/crates/holdpointd/src/ingress/peer_service.rs
+++ b/crates/holdpointd/src/ingress/peer_service.rs
@@ -52,7 +52,7 @@
 pub(crate) const LENDING_PROTOCOL: u32 = 3;
 /// First protocol version with [`IngressPeers::report_runs`] and [`IngressPeers::tell_verdicts`].
 pub(crate) const QUARANTINE_PROTOCOL: u32 = 4;
-/// First protocol version that reads [`news::Place::sum`].
+/// First protocol version that reads [`update_feed::FollowPosition::sum`].
 pub(crate) const TARGET_SUM_PROTOCOL: u32 = 5;
 /// First protocol version with [`IngressPeers::take_slot`], [`IngressPeers::hear_limits`] and
 /// [`IngressPeers::assign`].
--- a/crates/holdpointd/src/ingress/pools.rs
+++ b/crates/holdpointd/src/ingress/pools.rs
@@ -91,7 +91,7 @@
         address: target.id.clone(),
         domain: target.domain.clone(),
         is_draining: target.is_draining,
-        is_evacuated: is_evacuated,
+        is_evacuated,
     }
 }
 
--- a/crates/holdpointd/src/ingress/quarantine.rs
+++ b/crates/holdpointd/src/ingress/quarantine.rs
@@ -384,7 +384,7 @@
     }
 }
 
-/// Writes a quarantined request to the store, or deletes it there. Retries for at most [`HOLD_MS`].
+/// Writes a quarantined request to the store, or deletes it there. Retries for at most [`QUARANTINE_MS`].
 async fn write(shared: Arc<IngressShared>, key: String, value: Option<Bytes>) {
     let store = &shared.settings.store;
     let timeout = Duration::from_millis(store.timeout_ms);
--- a/crates/holdpointd/src/ingress/stages.rs
+++ b/crates/holdpointd/src/ingress/stages.rs
@@ -351,7 +351,7 @@
     let slack_ms = left_ms as i64 - after_ms as i64;
     let due_in_ms = ctx.route.objective_ms as i64 - after_ms as i64 - spent_ms;
     ItemRequest {
-        work: WorkItem { request: ctx.request.id.clone(), stage, item: item, source },
+        work: WorkItem { request: ctx.request.id.clone(), stage, item, source },
         route: ctx.route.name.clone(),
         // Requests admitted late yield to those that can meet their objective, at every stage.
         due_in_ms: if ctx.is_late() { 0 } else { due_in_ms },
--- a/crates/holdpointd/src/ingress/unread.rs
+++ b/crates/holdpointd/src/ingress/unread.rs
@@ -120,7 +120,7 @@
     }
 
     async fn room(&self, bytes: usize) -> Option<(OwnedSemaphorePermit, OwnedSemaphorePermit)> {
-        // A part is at most `MOST_EACH` bytes long.
+        // A part is at most `MAX_RESPONSE_BYTES` bytes long.
         let bytes = bytes as u32;
         let of_answer = self.of_answer.clone().acquire_many_owned(bytes).await.ok()?;
         let of_instance = self.of_instance.clone().acquire_many_owned(bytes).await.ok()?;
