--- a/crates/holdpoint-core/src/admission.rs
+++ b/crates/holdpoint-core/src/admission.rs
@@ -91,44 +91,44 @@
     now: Millis,
     batcher: &Batcher,
     promises: &mut AdmittedWork,
-    ask: &FirstStageRequest<'_>,
+    request: &FirstStageRequest<'_>,
 ) -> Verdict {
-    if ask.ahead.is_empty() {
-        return decide_single_stage(now, batcher, ask);
+    if request.ahead.is_empty() {
+        return decide_single_stage(now, batcher, request);
     }
-    let (own_ms, own_spread) = batcher.likely_ms(now, ask.due, ask.items);
-    let own_wait = batcher.wait_ms(now, ask.due);
-    let mut expected = promises.estimate(now, own_ms, ask.ahead);
+    let (own_ms, own_spread) = batcher.likely_ms(now, request.due, request.items);
+    let own_wait = batcher.wait_ms(now, request.due);
+    let mut expected = promises.estimate(now, own_ms, request.ahead);
     expected.spread_ms = expected.spread_ms.hypot(own_spread);
     let needed = (expected.ms + MARGIN_ERRORS * expected.spread_ms) as Millis;
-    if now + needed <= ask.end {
-        promises.record(now, ask.ahead, &expected, false);
+    if now + needed <= request.end {
+        promises.record(now, request.ahead, &expected, false);
         return Verdict::InTime(expected);
     }
-    let (own_late, _) = batcher.likely_ms(now, ask.late_due, ask.items);
+    let (own_late, _) = batcher.likely_ms(now, request.late_due, request.items);
     let backlog_ms = (own_late - own_ms).max(0.0) + expected.late_ms;
-    let late_ms = ask.objective.late_ms(now, batcher, &expected, backlog_ms);
-    if now + late_ms as Millis <= ask.deadline && ask.objective.accepts_late() {
-        promises.record(now, ask.ahead, &expected, true);
+    let late_ms = request.objective.late_ms(now, batcher, &expected, backlog_ms);
+    if now + late_ms as Millis <= request.deadline && request.objective.accepts_late() {
+        promises.record(now, request.ahead, &expected, true);
         return Verdict::Late(expected);
     }
     Verdict::Refused {
         expected: expected.ms as Millis,
         bottleneck: expected.longest_wait.filter(|it| own_wait <= it.1).map(|it| it.0),
-        excess: (now + needed).saturating_sub(ask.end),
+        excess: (now + needed).saturating_sub(request.end),
     }
 }
 
 /// Decides on a request with a single stage.
-fn decide_single_stage(now: Millis, batcher: &Batcher, ask: &FirstStageRequest<'_>) -> Verdict {
-    let expected_ms = batcher.expected_ms(now, ask.due, ask.items);
+fn decide_single_stage(now: Millis, batcher: &Batcher, request: &FirstStageRequest<'_>) -> Verdict {
+    let expected_ms = batcher.expected_ms(now, request.due, request.items);
     let expected = ChainEstimate { ms: expected_ms as f64, ..ChainEstimate::default() };
-    match batcher.admit(now, ask.due, ask.late_due, ask.items) {
-        Ok(()) if now + expected_ms <= ask.due => Verdict::InTime(expected),
-        Ok(()) if ask.objective.accepts_late() => Verdict::Late(expected),
+    match batcher.admit(now, request.due, request.late_due, request.items) {
+        Ok(()) if now + expected_ms <= request.due => Verdict::InTime(expected),
+        Ok(()) if request.objective.accepts_late() => Verdict::Late(expected),
         late => {
             let expected = late.err().unwrap_or(expected_ms);
-            let excess = (now + expected).saturating_sub(ask.due);
+            let excess = (now + expected).saturating_sub(request.due);
             Verdict::Refused { expected, bottleneck: None, excess }
         }
     }
--- a/crates/holdpoint-core/src/concurrency.rs
+++ b/crates/holdpoint-core/src/concurrency.rs
@@ -186,25 +186,25 @@
     }
 
     /// Decides on a request.
-    pub fn offer(&mut self, now: Millis, ask: &AdmissionRequest<'_>) -> Offer {
+    pub fn offer(&mut self, now: Millis, request: &AdmissionRequest<'_>) -> Offer {
         let refuse = |reason, retry_after: Millis| Offer::Refuse {
             reason,
             retry_after: retry_after.max(MIN_RETRY_MS),
         };
-        if ask.deadline < now + ask.service_ms {
-            self.remove_if_idle(ask.organisation);
-            return refuse(Refusal::DeadlineTooClose, ask.service_ms);
+        if request.deadline < now + request.service_ms {
+            self.remove_if_idle(request.organisation);
+            return refuse(Refusal::DeadlineTooClose, request.service_ms);
         }
-        let wait = self.expected_wait(ask);
+        let wait = self.expected_wait(request);
         let is_full = self.limit() <= self.in_flight;
         let virtual_now = self.virtual_now;
-        let queue = self.queues.entry(ask.organisation.to_owned()).or_default();
+        let queue = self.queues.entry(request.organisation.to_owned()).or_default();
         // A changed share applies only while the queue is empty, to keep `ready_shares` consistent.
         if queue.waiting.is_empty() {
-            queue.share = ask.share.max(1);
+            queue.share = request.share.max(1);
         }
-        if ask.cap <= queue.in_flight + queue.waiting.len() as u32 {
-            self.remove_if_idle(ask.organisation);
+        if request.cap <= queue.in_flight + queue.waiting.len() as u32 {
+            self.remove_if_idle(request.organisation);
             return refuse(Refusal::OrganisationLimit, wait);
         }
         if !is_full && self.ready.is_empty() {
@@ -213,21 +213,21 @@
             self.in_flight += 1;
             return Offer::Admit;
         }
-        if ask.deadline < now + wait + ask.service_ms {
-            self.remove_if_idle(ask.organisation);
+        if request.deadline < now + wait + request.service_ms {
+            self.remove_if_idle(request.organisation);
             return refuse(Refusal::Overload, wait);
         }
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         if queue.waiting.is_empty() {
             queue.virtual_time = queue.virtual_time.max(virtual_now);
-            self.ready.insert((queue.virtual_time, ask.organisation.to_owned()));
+            self.ready.insert((queue.virtual_time, request.organisation.to_owned()));
             self.ready_shares += u64::from(queue.share);
         }
         self.waiting += 1;
-        let place = queue.waiting.partition_point(|it| it.need <= ask.service_ms);
-        let latest_start = ask.deadline - ask.service_ms;
-        queue.waiting.insert(place, Waiting { ticket, need: ask.service_ms, latest_start });
+        let place = queue.waiting.partition_point(|it| it.need <= request.service_ms);
+        let latest_start = request.deadline - request.service_ms;
+        queue.waiting.insert(place, Waiting { ticket, need: request.service_ms, latest_start });
         Offer::Defer(ticket)
     }
 
@@ -291,13 +291,13 @@
     /// Expected wait of a new request: the requests before it in its own queue, and those of other
     /// queues that fair queueing serves meanwhile. Uses sums over the other queues, since there may be
     /// thousands of them.
-    fn expected_wait(&self, ask: &AdmissionRequest<'_>) -> Millis {
-        let own = self.queues.get(ask.organisation).filter(|it| !it.waiting.is_empty());
+    fn expected_wait(&self, request: &AdmissionRequest<'_>) -> Millis {
+        let own = self.queues.get(request.organisation).filter(|it| !it.waiting.is_empty());
         let first =
-            own.map_or(0, |it| it.waiting.partition_point(|it| it.need <= ask.service_ms)) + 1;
+            own.map_or(0, |it| it.waiting.partition_point(|it| it.need <= request.service_ms)) + 1;
         let own_waiting = own.map_or(0, |it| it.waiting.len());
         let own_share = own.map_or(0, |it| u64::from(it.share));
-        let other_shares = (self.ready_shares - own_share) as f64 / f64::from(ask.share.max(1));
+        let other_shares = (self.ready_shares - own_share) as f64 / f64::from(request.share.max(1));
         let before = (first as f64 * other_shares).min((self.waiting - own_waiting) as f64);
         ((first as f64 + before) * self.interval_ms) as Millis
     }
--- a/crates/holdpoint-core/src/directory.rs
+++ b/crates/holdpoint-core/src/directory.rs
@@ -137,10 +137,10 @@
             _ => (),
         }
         let is_back = self.lapsed.remove(&entry.id).is_some();
-        let is_leaving = entry.is_draining || self.has_drain_notice(&entry);
+        let is_draining = entry.is_draining || self.has_drain_notice(&entry);
         // Peers of earlier versions report no start time.
         let born = entry.born.or(known.and_then(|it| it.born));
-        let entry = TargetInstance { is_draining: is_leaving, born, ..entry };
+        let entry = TargetInstance { is_draining, born, ..entry };
         if known.is_some_and(|it| entry.sequence < it.sequence) {
             // The sender may have the drain notice from a response, along with an older entry.
             return match entry.is_draining {
@@ -152,11 +152,11 @@
         let known = self.instances.get(&entry.id);
         let change = match known {
             None => Change::Joined,
-            Some(it) if is_leaving && !it.is_draining => Change::Leaving,
+            Some(it) if is_draining && !it.is_draining => Change::Leaving,
             Some(it) if is_same(it, &entry) && !is_back && !cold_changed => Change::Nothing,
             Some(_) => Change::Altered,
         };
-        if is_leaving {
+        if is_draining {
             self.draining.insert(entry.id.clone(), entry.born);
         }
         self.insert(entry);
@@ -394,18 +394,9 @@
 }
 
 fn hash_entry(entry: &TargetInstance, hasher: &mut Xxh3) {
-    let TargetInstance {
-        id,
-        service,
-        address,
-        domain,
-        slots,
-        is_draining: is_leaving,
-        version,
-        born,
-        ..
-    } = entry;
-    (id, service, address, domain, slots, is_leaving, version).hash(hasher);
+    let TargetInstance { id, service, address, domain, slots, is_draining, version, born, .. } =
+        entry;
+    (id, service, address, domain, slots, is_draining, version).hash(hasher);
     // Without a start time the hash equals that of earlier program versions.
     born.iter().for_each(|it| it.hash(hasher));
 }
--- a/crates/holdpoint-core/src/readers.rs
+++ b/crates/holdpoint-core/src/readers.rs
@@ -111,7 +111,7 @@
     let candidates = candidates(&near);
     let sources = Sources::new(&near, &candidates, sizes);
     let readers = order_for(own, &all_readers);
-    let (role, asked) = if near_store.contains(own_region) {
+    let (role, upstreams) = if near_store.contains(own_region) {
         let near_readers = self::readers(&candidates);
         match () {
             () if near_readers.contains(&own) => (Role::Reader, order_for(own, &near_readers)),
@@ -127,8 +127,8 @@
             None => (Role::Follower, sources.order_for(own, own_domain)),
         }
     };
-    let patience_ms = if role == Role::Follower { read_delay(own, near.len()) } else { 0 };
-    Plan { role, upstreams: asked, readers, read_delay_ms: patience_ms }
+    let read_delay_ms = if role == Role::Follower { read_delay(own, near.len()) } else { 0 };
+    Plan { role, upstreams, readers, read_delay_ms }
 }
 
 /// Regions about as near to the store as the nearest one. A region without a measurement counts as near.
--- a/crates/holdpoint-core/tests/admitted_work.rs
+++ b/crates/holdpoint-core/tests/admitted_work.rs
@@ -24,8 +24,8 @@
     StageLoad { waiting, most: 50.0, ..base }
 }
 
-fn stage(service: &str, pieces: u32, depth: u32) -> LaterStage {
-    LaterStage { service: service.to_owned(), items: pieces, depth, usual_ms: 700 }
+fn stage(service: &str, items: u32, depth: u32) -> LaterStage {
+    LaterStage { service: service.to_owned(), items, depth, usual_ms: 700 }
 }
 
 fn expected_ms(promises: &AdmittedWork, now: u64, ahead: &[LaterStage]) -> f64 {
@@ -134,8 +134,8 @@
     assert!(matches!(verdict, Verdict::Late(_)), "the first stage is idle: {verdict:?}");
     promises.apply_report(1000, "second", load(9000.0));
     let verdict = decide(1000, &batcher, &mut promises, &ask(&ahead, 2000));
-    let Verdict::Refused { bottleneck: by, excess, .. } = verdict else { panic!("{verdict:?}") };
-    assert_eq!(by.as_deref(), Some("second"));
+    let Verdict::Refused { bottleneck, excess, .. } = verdict else { panic!("{verdict:?}") };
+    assert_eq!(bottleneck.as_deref(), Some("second"));
     assert!((8000..8500).contains(&excess), "would be in time {excess} ms later");
 }
 
--- a/crates/holdpoint-core/tests/batcher.rs
+++ b/crates/holdpoint-core/tests/batcher.rs
@@ -476,11 +476,11 @@
 #[test]
 fn isolated_items_share_no_call_with_other_requests() {
     let mut batcher = batcher(&[("t", "a")]);
-    for (ticket, group, is_alone) in
+    for (ticket, group, is_isolated) in
         [(1, 1, false), (2, 2, true), (3, 2, true), (4, 3, false), (5, 4, true)]
     {
         let due = 3000 + ticket;
-        batcher.offer(1000, QueuedItem { is_isolated: is_alone, ..item(ticket, group, due) });
+        batcher.offer(1000, QueuedItem { is_isolated, ..item(ticket, group, due) });
     }
     let mut calls = Vec::new();
     let mut now = 1000;
--- a/crates/holdpoint-core/tests/growth.rs
+++ b/crates/holdpoint-core/tests/growth.rs
@@ -113,13 +113,13 @@
 /// entries.
 #[test]
 fn the_incremental_sum_depends_on_the_listed_entries_only() {
-    let entry = |index: usize, sequence, is_leaving| TargetInstance {
+    let entry = |index: usize, sequence, is_draining| TargetInstance {
         id: format!("i{index}"),
         service: "s".into(),
         address: format!("10.0.0.{}:80", index % 50),
         domain: DOMAINS[index % DOMAINS.len()].into(),
         slots: 1,
-        is_draining: is_leaving,
+        is_draining,
         sequence,
         cold_left_ms: None,
         born: Some(1),
--- a/crates/holdpoint-core/tests/ingress.rs
+++ b/crates/holdpoint-core/tests/ingress.rs
@@ -88,14 +88,14 @@
     assert_eq!(long.service_of("r-1"), long.service_of("r-1"));
 }
 
-fn entry(sequence: u64, is_leaving: bool) -> TargetInstance {
+fn entry(sequence: u64, is_draining: bool) -> TargetInstance {
     TargetInstance {
         id: "i".to_owned(),
         service: "s".to_owned(),
         address: "10.0.0.1:80".to_owned(),
         domain: "a".to_owned(),
         slots: 1,
-        is_draining: is_leaving,
+        is_draining,
         sequence,
         born: None,
         cold_left_ms: None,
--- a/crates/holdpoint-core/tests/quarantine.rs
+++ b/crates/holdpoint-core/tests/quarantine.rs
@@ -10,8 +10,8 @@
 }
 
 fn crash(name: &str, target: &str, born: u64) -> CrashedRun {
-    let life = Incarnation { target: target.to_owned(), born };
-    CrashedRun { fingerprint: request(name), service: "engine".to_owned(), incarnation: life }
+    let incarnation = Incarnation { target: target.to_owned(), born };
+    CrashedRun { fingerprint: request(name), service: "engine".to_owned(), incarnation }
 }
 
 fn quarantined(verdicts: &[Verdict]) -> Vec<Fingerprint> {
--- a/crates/holdpoint-core/tests/spill.rs
+++ b/crates/holdpoint-core/tests/spill.rs
@@ -108,11 +108,8 @@
 
 #[test]
 fn a_request_spills_only_if_it_meets_its_deadline_there() {
-    let prospect = |left_ms, here_ms, there_ms| SpillEstimate {
-        left_ms,
-        local_ms: here_ms,
-        remote_ms: there_ms,
-    };
+    let prospect =
+        |left_ms, local_ms, there_ms| SpillEstimate { left_ms, local_ms, remote_ms: there_ms };
     assert!(prospect(1000, 1500, 800).should_spill());
     assert!(!prospect(1000, 900, 500).should_spill(), "in time here");
     assert!(!prospect(1000, 1500, 1100).should_spill(), "late there too");
--- a/crates/holdpoint-core/tests/stated_timeouts.rs
+++ b/crates/holdpoint-core/tests/stated_timeouts.rs
@@ -15,15 +15,15 @@
     retry_percent: u32,
 ) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut patience = StatedTimeouts::default();
+    let mut stated_timeouts = StatedTimeouts::default();
     let (mut firsts, mut retries) = ((0, 0), (0, 0));
     for caller in 0..callers {
         let own_ms = full_ms * (1.0 - spread * rng.random_range(0.0..1.0));
         let waited_ms = f64::from(rng.random_range(1500..3000));
         let is_retry = rng.random_range(0..100) < retry_percent;
         let left_ms = if is_retry { own_ms - waited_ms } else { own_ms } as Millis;
-        let is_detected = patience.retry_elapsed(left_ms) != 0;
-        patience.record(caller as Millis * 10, left_ms);
+        let is_detected = stated_timeouts.retry_elapsed(left_ms) != 0;
+        stated_timeouts.record(caller as Millis * 10, left_ms);
         let count = if is_retry { &mut retries } else { &mut firsts };
         count.0 += u32::from(is_detected);
         count.1 += 1;
--- a/crates/holdpoint-core/tests/support/chain.rs
+++ b/crates/holdpoint-core/tests/support/chain.rs
@@ -33,15 +33,8 @@
 /// Time at which requests stop arriving.
 const LOAD_END_MS: u64 = 14_000;
 
-const fn sizes(pieces: u32, piece_ms: f64) -> CallProfile {
-    CallProfile {
-        max_calls: 1,
-        max_items: pieces,
-        call_ms: 150.0,
-        item_ms: piece_ms,
-        room_bytes: 0,
-        keep_ms: 4000,
-    }
+const fn sizes(max_items: u32, item_ms: f64) -> CallProfile {
+    CallProfile { max_calls: 1, max_items, call_ms: 150.0, item_ms, room_bytes: 0, keep_ms: 4000 }
 }
 
 /// Rule by which requests are admitted.
--- a/crates/holdpoint-emulator/src/control.rs
+++ b/crates/holdpoint-emulator/src/control.rs
@@ -93,26 +93,26 @@
 /// Drains a target under load, once for each source of the drain notice.
 pub async fn draining() -> Vec<DrainTimes> {
     let mut rows = Vec::new();
-    for sign in ["list", "own answer, list frozen", "own answer, list frozen, one peer cut off"] {
+    for source in ["list", "own answer, list frozen", "own answer, list frozen, one peer cut off"] {
         let world = World::start(&Plan::new(3).with_relays()).await;
         let target = world.pool("commune-portal")[0];
         let load = lookups(&world, Duration::from_secs(5));
         let drain = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
-            if sign == "list" {
+            if source == "list" {
                 world.list.drain_target(target.address());
             } else {
                 world.list.set_stale(true);
                 target.faults().is_draining = true;
             }
-            if sign.ends_with("cut off") {
+            if source.ends_with("cut off") {
                 world.drop_traffic(2, true, true);
             }
             (wall_ms(), target.calls())
         };
         let ((), (began, before)) = tokio::join!(load, drain);
         let last_ms = target.last_call_ms().saturating_sub(began);
-        rows.push(DrainTimes { source: sign, last_ms, calls: target.calls() - before });
+        rows.push(DrainTimes { source, last_ms, calls: target.calls() - before });
     }
     rows
 }
--- a/crates/holdpoint-emulator/src/faults.rs
+++ b/crates/holdpoint-emulator/src/faults.rs
@@ -212,8 +212,8 @@
 
 fn clear_faults(world: &World) {
     for (_, target) in &world.targets {
-        let leaving = target.faults().is_draining;
-        *target.faults() = TargetFaults { is_draining: leaving, ..TargetFaults::default() };
+        let is_draining = target.faults().is_draining;
+        *target.faults() = TargetFaults { is_draining, ..TargetFaults::default() };
     }
     *world.log.faults() = holdpoint_standin::log::LogFaults::default();
     world.list.set_stale(false);
--- a/crates/holdpoint/src/judge.rs
+++ b/crates/holdpoint/src/judge.rs
@@ -19,11 +19,11 @@
 /// Runs all arms on both users' workloads and prints attainment and cost of each.
 pub(crate) fn policies(matches: &ArgMatches) -> Result<(), Failure> {
     let seeds = number(matches, "seeds") as u64;
-    let setup = |user, arm, load, trouble| Setup {
+    let setup = |user, arm, load, scenario| Setup {
         user,
         arm,
         load,
-        scenario: trouble,
+        scenario,
         seed: 0,
         instances: number(matches, "instances"),
         seconds: number(matches, "seconds") as u64,
@@ -33,8 +33,8 @@
         for arm in ARMS {
             setups.extend(LOADS_PERCENT.iter().map(|it| setup(user, arm, *it, Scenario::None)));
         }
-        for trouble in [Scenario::SlowStage, Scenario::FailingTenth, Scenario::SlowQuarter] {
-            setups.extend(ARMS.iter().map(|it| setup(user, *it, TROUBLE_LOAD_PERCENT, trouble)));
+        for scenario in [Scenario::SlowStage, Scenario::FailingTenth, Scenario::SlowQuarter] {
+            setups.extend(ARMS.iter().map(|it| setup(user, *it, TROUBLE_LOAD_PERCENT, scenario)));
         }
     }
     let outcomes = run_all(&setups, seeds);
--- a/crates/holdpointd/src/control/publish.rs
+++ b/crates/holdpointd/src/control/publish.rs
@@ -48,9 +48,9 @@
                 if members.iter().any(|it| it.address == target.address) {
                     continue;
                 }
-                let leaving = self.view.draining_at(&target.address).is_some();
+                let is_draining = self.view.draining_at(&target.address).is_some();
                 let (address, domain) = (target.address.clone(), target.domain.clone());
-                members.push(Member { address, domain, is_draining: leaving, is_evacuated: false });
+                members.push(Member { address, domain, is_draining, is_evacuated: false });
             }
             pools.insert(name.clone(), Arc::new(members));
         }
--- a/crates/holdpointd/src/ingress/attempts.rs
+++ b/crates/holdpointd/src/ingress/attempts.rs
@@ -266,9 +266,9 @@
                 peers.assign(&ctx.shared, &address, &ctx.service, ask, limit).await
             };
             match assignment {
-                Some(Assignment::To { target, is_counted: is_taken }) => {
+                Some(Assignment::To { target, is_counted }) => {
                     let Some(target) = ctx.open_target(&target) else { return Ok(None) };
-                    let permit = if is_taken {
+                    let permit = if is_counted {
                         Ok(Permit::assigned())
                     } else {
                         limits::acquire(&ctx.shared, &target).await
--- a/crates/holdpointd/src/ingress/batches.rs
+++ b/crates/holdpointd/src/ingress/batches.rs
@@ -303,18 +303,15 @@
         let offered = Instant::now();
         let group = self.ticket();
         let inputs = Arc::new(GroupInputs::new(&mut requests, within));
-        let is_alone = shared.quarantines.runs_alone(inputs.fingerprint);
+        let is_isolated = shared.quarantines.runs_alone(inputs.fingerprint);
         let mut replies = Vec::with_capacity(requests.len());
         for request in requests {
             let ticket = self.ticket();
             let (reply, answer) = oneshot::channel();
             replies.push(answer);
             let within = inputs.within.clone();
-            let item = QueuedItem {
-                within,
-                is_isolated: is_alone,
-                ..queue_entry(&request, ticket, group, now)
-            };
+            let item =
+                QueuedItem { within, is_isolated, ..queue_entry(&request, ticket, group, now) };
             queue.batcher.offer(now, item);
             let deadline = offered + Duration::from_millis(request.left_ms);
             let inputs = inputs.clone();
--- a/crates/holdpointd/src/ingress/batches/admit.rs
+++ b/crates/holdpointd/src/ingress/batches/admit.rs
@@ -34,15 +34,17 @@
         objective: Objective { late_value: shared.settings.decisions.objective.late_worth },
         deadline: at(first.chain.as_ref().map_or(late_due_in_ms(first), |it| it.deadline_in_ms)),
     };
-    let (expected, by, excess) = match decide(now, batcher, promises, &request) {
+    let (expected, bottleneck, excess) = match decide(now, batcher, promises, &request) {
         Verdict::Late(expected) if first.chain.as_ref().is_some_and(|it| it.accepts_late) => {
             log_late_admission(shared, service, first, &expected);
             return Err(NoResult::OnlyLate);
         }
         Verdict::InTime(_) | Verdict::Late(_) => return Ok(()),
-        Verdict::Refused { expected, bottleneck: by, excess } => (expected, by, excess),
+        Verdict::Refused { expected, bottleneck, excess } => (expected, bottleneck, excess),
     };
-    let later = by.as_ref().and_then(|by| request.ahead.iter().find(|it| it.service == *by));
+    let later = bottleneck
+        .as_ref()
+        .and_then(|bottleneck| request.ahead.iter().find(|it| it.service == *bottleneck));
     let return_ms = match later {
         Some(it) => promises.retry_after_ms(now, &it.service, excess, it.items),
         None => batcher.retry_after_ms(now, request.due, requests.len()),
@@ -51,7 +53,7 @@
         "id={} service={service} stage={} expected_ms={expected} due_in_ms={} end_in_ms={} waiting={} \
          return_ms={return_ms}",
         first.work.request,
-        by.as_deref().unwrap_or(service),
+        bottleneck.as_deref().unwrap_or(service),
         first.due_in_ms,
         request.end.saturating_sub(now),
         batcher.waiting()
--- a/crates/holdpointd/src/ingress/context.rs
+++ b/crates/holdpointd/src/ingress/context.rs
@@ -111,7 +111,7 @@
     /// Creates the context of a request that was read and matched to a route.
     pub(crate) fn new(shared: Arc<IngressShared>, parts: ContextParts) -> Context {
         let limit = parts.route.time_limit(parts.head.timeout);
-        let asked_before = asked_before(&shared, &parts);
+        let retry_elapsed = retry_elapsed(&shared, &parts);
         let pool = shared.pools.of(shared.clock.now(), &parts.service);
         pool.request(shared.clock.now(), &shared.pools.terms());
         let home_region =
@@ -131,7 +131,7 @@
             bounds: parts.bounds,
             version: parts.version,
             arrived: parts.arrived,
-            retry_elapsed: asked_before,
+            retry_elapsed,
             deadline: parts.arrived + limit,
             ledger: Ledger::new(),
             fingerprint: OnceLock::new(),
@@ -398,11 +398,11 @@
 
     /// Returns the logged cause of an answer whose delivery stopped, and logs it if the caller did not read.
     pub(crate) fn record_undelivered(&self, why: DeliveryError) -> &'static str {
-        let DeliveryError::ReadTimeout { buffered: kept, is_full } = why else {
+        let DeliveryError::ReadTimeout { buffered, is_full } = why else {
             return "caller-gone";
         };
         let detail = format!(
-            "id={} route={} kept={kept} bound={} of_instance={}",
+            "id={} route={} kept={buffered} bound={} of_instance={}",
             self.request.id,
             self.route.name,
             if is_full { "instance" } else { "answer" },
@@ -429,14 +429,14 @@
 
 /// Estimates the time since the caller's first attempt, from which the target time counts. The deadline that
 /// a caller states for a retry is shorter by this time.
-fn asked_before(shared: &IngressShared, parts: &ContextParts) -> Duration {
-    let Some(patience) = parts.head.timeout else { return Duration::ZERO };
-    let patiences = shared.stated_timeouts.get_or_create(&parts.route.name, Default::default);
-    let mut patiences = patiences.lock();
-    let patience = patience.as_millis() as Millis;
-    let asked_before = patiences.retry_elapsed(patience);
-    patiences.record(shared.clock.now(), patience);
-    Duration::from_millis(asked_before)
+fn retry_elapsed(shared: &IngressShared, parts: &ContextParts) -> Duration {
+    let Some(timeout) = parts.head.timeout else { return Duration::ZERO };
+    let stated_timeouts = shared.stated_timeouts.get_or_create(&parts.route.name, Default::default);
+    let mut stated_timeouts = stated_timeouts.lock();
+    let timeout = timeout.as_millis() as Millis;
+    let retry_elapsed = stated_timeouts.retry_elapsed(timeout);
+    stated_timeouts.record(shared.clock.now(), timeout);
+    Duration::from_millis(retry_elapsed)
 }
 
 impl Drop for Context {
--- a/crates/holdpointd/src/ingress/follow.rs
+++ b/crates/holdpointd/src/ingress/follow.rs
@@ -68,7 +68,7 @@
     let mut last_update = Instant::now() + START_GRACE;
     loop {
         let sources = shared.peers.sources();
-        let patience = sources.read_delay;
+        let read_delay = sources.read_delay;
         // An instance without peers would take itself for a reader. After a restart of all instances, many
         // would, and their reads would saturate the link to the store.
         let knows_peers = shared.peers.knows_leaders() || last_update < Instant::now();
@@ -92,7 +92,7 @@
             last_update = last_update.max(now);
         }
         let is_patient =
-            now < last_update + patience && !(knows_peers && shared.peers.all().is_empty());
+            now < last_update + read_delay && !(knows_peers && shared.peers.all().is_empty());
         set_reading(&shared, is_reader || !(is_updated || is_patient), cause);
         sleep(if is_updated && !is_reader { BATCH_DELAY } else { REVIEW_INTERVAL }).await;
     }
@@ -183,10 +183,10 @@
 async fn poll_peers(
     shared: &Arc<IngressShared>,
     position: &mut FollowPosition,
-    Sources { followed: asked, is_relay, .. }: Sources,
+    Sources { followed, is_relay, .. }: Sources,
 ) -> bool {
     let wait = if is_relay { RELAY_WAIT } else { MAX_WAIT };
-    for address in peers_to_ask(shared, asked) {
+    for address in peers_to_ask(shared, followed) {
         let known = FollowRequest {
             version: shared.configuration().version.max(position.version),
             wait_ms: wait.as_millis() as Millis,
@@ -309,8 +309,8 @@
 /// Asks peers for a newer configuration and applies it; returns whether a peer that has recently read the store
 /// confirmed that the configuration here is now the newest.
 pub(crate) async fn confirm_configuration(shared: &Arc<IngressShared>) -> bool {
-    let Sources { followed: asked, .. } = shared.peers.sources();
-    for address in asked.into_iter().take(MAX_ASKED_PEERS - 1) {
+    let Sources { followed, .. } = shared.peers.sources();
+    for address in followed.into_iter().take(MAX_ASKED_PEERS - 1) {
         let known = FollowRequest::configuration_only(shared, is_far_from_store(shared));
         let Ok(update) = shared.peers.follow(shared, &address, known, RESPONSE_TIMEOUT).await
         else {
--- a/crates/holdpointd/src/ingress/limits/updates.rs
+++ b/crates/holdpointd/src/ingress/limits/updates.rs
@@ -59,10 +59,10 @@
 }
 
 /// Applies updates from a peer.
-pub(crate) fn apply_updates(shared: &IngressShared, news: Vec<LimitUpdate>) {
+pub(crate) fn apply_updates(shared: &IngressShared, updates: Vec<LimitUpdate>) {
     let limits = &shared.limits;
     let now = shared.clock.now();
-    for it in news {
+    for it in updates {
         // An instance that has just started may receive a limit before it knows the target.
         let its = (it.target.as_str(), it.service.as_str());
         let change = limits.known.lock().apply(it.answer_span(now), its, it.per_s);
@@ -114,8 +114,8 @@
     for (address, ids) in by_owner {
         let shared = shared.clone();
         tokio::spawn(async move {
-            let news = updates_for(&shared, &ids);
-            if shared.peers.send_limits(&shared, &address, news).await.is_err() {
+            let updates = updates_for(&shared, &ids);
+            if shared.peers.send_limits(&shared, &address, updates).await.is_err() {
                 // The next check sends them to their owner at that time.
                 let mut reported = shared.limits.outbox.reported.lock();
                 ids.iter().for_each(|it| drop(reported.remove(it)));
@@ -133,15 +133,15 @@
 /// Sends limits of some targets to peers. A peer that is not reached learns of them from responses of the
 /// targets, or when it requests a permit.
 fn send_to_peers(shared: &Arc<IngressShared>, addresses: Vec<String>, ids: &[TargetId]) {
-    let news = updates_for(shared, ids);
-    if news.is_empty() || addresses.is_empty() {
+    let updates = updates_for(shared, ids);
+    if updates.is_empty() || addresses.is_empty() {
         return;
     }
     let shared = shared.clone();
     tokio::spawn(async move {
         let send = |address: String| {
-            let (shared, news) = (&shared, news.clone());
-            async move { shared.peers.send_limits(shared, &address, news).await }
+            let (shared, updates) = (&shared, updates.clone());
+            async move { shared.peers.send_limits(shared, &address, updates).await }
         };
         addresses.into_iter().map(send).collect::<FuturesUnordered<_>>().count().await;
     });
--- a/crates/holdpointd/src/ingress/packed.rs
+++ b/crates/holdpointd/src/ingress/packed.rs
@@ -151,8 +151,8 @@
         match &*cached {
             Some((cached_key, packed)) if *cached_key == digest => packed.clone(),
             _ => {
-                let is_leaving = shared.is_draining.load(Ordering::Acquire);
-                let own = (!is_leaving).then(|| shared.own_peer());
+                let is_draining = shared.is_draining.load(Ordering::Acquire);
+                let own = (!is_draining).then(|| shared.own_peer());
                 let packed = pack(&shared.peers.leaders(own.as_ref()));
                 *cached = Some((digest, packed.clone()));
                 packed
--- a/crates/holdpointd/src/ingress/peers.rs
+++ b/crates/holdpointd/src/ingress/peers.rs
@@ -134,7 +134,7 @@
     /// Number of instances by failure domain, as received at the start.
     reported_sizes: Mutex<DomainSizes>,
     /// Whether this instance is draining and no longer owns services.
-    is_leaving: AtomicBool,
+    is_draining: AtomicBool,
 }
 
 impl Peers {
@@ -157,13 +157,13 @@
             own_store_ms: AtomicU64::new(0),
             were_read: AtomicBool::new(false),
             reported_sizes: Mutex::default(),
-            is_leaving: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
         }
     }
 
     /// Marks this instance as draining.
     pub(crate) fn start_draining(&self) {
-        self.is_leaving.store(true, Ordering::Release);
+        self.is_draining.store(true, Ordering::Release);
     }
 
     /// Sets a peer, or removes it where `peer` is `None`; returns whether anything changed.
@@ -259,7 +259,8 @@
     /// Names of the responsive instances, including this one unless it is draining.
     fn responsive<'a>(&'a self, known: &'a HashMap<Name, Peer>) -> impl Iterator<Item = &'a str> {
         let others = known.iter().filter(|it| !self.links.is_suspect(&it.1.address));
-        let own = Some(self.own_name.as_str()).filter(|_| !self.is_leaving.load(Ordering::Acquire));
+        let own =
+            Some(self.own_name.as_str()).filter(|_| !self.is_draining.load(Ordering::Acquire));
         others.map(|it| it.0.as_str()).chain(own)
     }
 
@@ -310,7 +311,7 @@
 
     /// Whether this instance is draining.
     pub(crate) fn is_draining(&self) -> bool {
-        self.is_leaving.load(Ordering::Acquire)
+        self.is_draining.load(Ordering::Acquire)
     }
 
     /// Whether a region has a responsive instance.
--- a/crates/holdpointd/src/ingress/peers/view.rs
+++ b/crates/holdpointd/src/ingress/peers/view.rs
@@ -34,7 +34,7 @@
     peers: u64,
     suspects: u64,
     store_ms: u64,
-    is_leaving: bool,
+    is_draining: bool,
 }
 
 /// State derived from the responsive instances.
@@ -72,7 +72,7 @@
             peers: self.revision.load(Ordering::Acquire),
             suspects,
             store_ms: self.own_store_ms.load(Ordering::Acquire),
-            is_leaving: self.is_leaving.load(Ordering::Acquire),
+            is_draining: self.is_draining.load(Ordering::Acquire),
         };
         let now = Instant::now();
         let view = self.view.load_full();
--- a/crates/holdpointd/src/ingress/quarantine.rs
+++ b/crates/holdpointd/src/ingress/quarantine.rs
@@ -116,11 +116,14 @@
 impl Quarantines {
     /// Records that the connection to a target broke while the target ran a request.
     pub(crate) fn connection_broken(&self, fingerprint: Fingerprint, target: &TargetInstance) {
-        let life = Incarnation { target: target.id.clone(), born: target.born.unwrap_or(0) };
-        let run =
-            CrashedRun { fingerprint, service: target.service.clone(), incarnation: life.clone() };
+        let incarnation = Incarnation { target: target.id.clone(), born: target.born.unwrap_or(0) };
+        let run = CrashedRun {
+            fingerprint,
+            service: target.service.clone(),
+            incarnation: incarnation.clone(),
+        };
         let mut broken_runs = self.broken_runs.lock();
-        broken_runs.entry(life).or_insert_with(|| (target.clone(), Vec::new())).1.push(run);
+        broken_runs.entry(incarnation).or_insert_with(|| (target.clone(), Vec::new())).1.push(run);
         drop(broken_runs);
         self.has_reports.notify_one();
     }
--- a/crates/holdpointd/src/ingress/rollouts.rs
+++ b/crates/holdpointd/src/ingress/rollouts.rs
@@ -121,7 +121,7 @@
 
 impl Rollouts {
     /// Creates the state without roll-outs.
-    pub(crate) fn new(settings: &IngressSettings, eras: Arc<StoreEpochs>) -> Rollouts {
+    pub(crate) fn new(settings: &IngressSettings, epochs: Arc<StoreEpochs>) -> Rollouts {
         let limits = &settings.rollouts;
         Rollouts {
             bound: Bound { share: limits.share, slack: limits.slack },
@@ -130,7 +130,7 @@
             orders: Mutex::default(),
             local: Mutex::default(),
             driven: Mutex::default(),
-            records: tokio::sync::Mutex::new(Records::new(settings, eras)),
+            records: tokio::sync::Mutex::new(Records::new(settings, epochs)),
             orders_changed: Notify::new(),
         }
     }
--- a/crates/holdpointd/src/ingress/rollouts/driver.rs
+++ b/crates/holdpointd/src/ingress/rollouts/driver.rs
@@ -382,13 +382,8 @@
         return DriverAnswer::Nothing;
     }
     let quota = it.rollout.quota(&instance, life);
-    let wanted = it.rollout.needed_routes();
-    DriverAnswer::Word(DriverUpdate {
-        offset,
-        phase: it.reported_phase(),
-        quota,
-        needed_routes: wanted,
-    })
+    let needed_routes = it.rollout.needed_routes();
+    DriverAnswer::Word(DriverUpdate { offset, phase: it.reported_phase(), quota, needed_routes })
 }
 
 /// Reads the record of a roll-out if the driver has sent no update for [`RECORD_READ_MS`].
--- a/crates/holdpointd/src/ingress/rollouts/record.rs
+++ b/crates/holdpointd/src/ingress/rollouts/record.rs
@@ -60,10 +60,10 @@
 
 impl Records {
     /// Creates a client that is not connected yet.
-    pub(super) fn new(settings: &IngressSettings, eras: Arc<StoreEpochs>) -> Records {
+    pub(super) fn new(settings: &IngressSettings, epochs: Arc<StoreEpochs>) -> Records {
         let store = &settings.store;
         let timeout = Duration::from_millis(store.timeout_ms);
-        Records { client: StoreClient::new(&store.address, timeout, eras) }
+        Records { client: StoreClient::new(&store.address, timeout, epochs) }
     }
 
     /// Reads the record of a service and the end offset of its topic.
--- a/crates/holdpointd/src/ingress/shared.rs
+++ b/crates/holdpointd/src/ingress/shared.rs
@@ -161,7 +161,7 @@
     /// Creates the state of an instance without configuration, targets and peers.
     pub(crate) fn new(settings: IngressSettings) -> IngressShared {
         let connect = Duration::from_millis(settings.timing.connect_ms);
-        let eras = Arc::new(StoreEpochs::default());
+        let epochs = Arc::new(StoreEpochs::default());
         IngressShared {
             clock: Clock::new(),
             topology: Topology::new(&settings.region, settings.regions.clone()),
@@ -175,7 +175,7 @@
             regions: Regions::new(&settings),
             domains: Domains::default(),
             confinements: Confinements::default(),
-            rollouts: Rollouts::new(&settings, eras.clone()),
+            rollouts: Rollouts::new(&settings, epochs.clone()),
             quarantines: Quarantines::default(),
             limits: Limits::default(),
             backoffs: Mutex::default(),
@@ -188,7 +188,7 @@
             first_times: LazyMap::default(),
             stated_timeouts: LazyMap::default(),
             resumed: watch::channel(()).0,
-            epochs: eras,
+            epochs,
             entry_written: AtomicU64::new(0),
             store_lost: Notify::new(),
             reading: watch::channel(false).0,
--- a/crates/holdpointd/src/ingress/spill.rs
+++ b/crates/holdpointd/src/ingress/spill.rs
@@ -142,9 +142,9 @@
 pub(crate) async fn spill_if_late(ctx: &Context) {
     let Some(graph) = spillable_stages(ctx) else { return };
     let here = |stage: usize| expected_stage_ms(ctx, service_of(ctx, stage));
-    let here_ms = first_event_ms(ctx) + critical_path_ms(&graph, &here);
-    if left_ms(ctx) < here_ms {
-        try_spill(ctx, &graph, here_ms).await;
+    let local_ms = first_event_ms(ctx) + critical_path_ms(&graph, &here);
+    if left_ms(ctx) < local_ms {
+        try_spill(ctx, &graph, local_ms).await;
     }
 }
 
@@ -191,7 +191,7 @@
 }
 
 /// Sends a request to another region if places, time and bandwidth permit. Returns whether it was sent.
-async fn try_spill(ctx: &Context, graph: &StageGraph, here_ms: Millis) -> bool {
+async fn try_spill(ctx: &Context, graph: &StageGraph, local_ms: Millis) -> bool {
     let shared = &ctx.shared;
     let within = ctx.within();
     let region = other_regions_serving(shared, &ctx.route, &ctx.service, &within).next();
@@ -200,24 +200,24 @@
     };
     let places = places(graph, |it| service_of(ctx, it));
     let Some(times) = take_places(shared, &region, &places).await else {
-        log_not_spilled(ctx, &region, here_ms, None, "places");
+        log_not_spilled(ctx, &region, local_ms, None, "places");
         return false;
     };
-    let there_ms = there_ms(ctx, graph, |it| times.get(it).copied().unwrap_or(0));
+    let remote_ms = there_ms(ctx, graph, |it| times.get(it).copied().unwrap_or(0));
     let left_ms = left_ms(ctx);
-    if !(SpillEstimate { left_ms, local_ms: here_ms, remote_ms: there_ms }).should_spill() {
-        log_not_spilled(ctx, &region, here_ms, Some(there_ms), "gain");
+    if !(SpillEstimate { left_ms, local_ms, remote_ms }).should_spill() {
+        log_not_spilled(ctx, &region, local_ms, Some(remote_ms), "gain");
         return false;
     }
     let bytes = ctx.request.body.len() as u64;
     if !shared.regions.spill.spend(shared, bytes) {
-        log_not_spilled(ctx, &region, here_ms, Some(there_ms), "link");
+        log_not_spilled(ctx, &region, local_ms, Some(remote_ms), "link");
         return false;
     }
     let detail = format!(
-        "id={} region={region} here_ms={} there_ms={there_ms} left_ms={left_ms} bytes={bytes}",
+        "id={} region={region} here_ms={} there_ms={remote_ms} left_ms={left_ms} bytes={bytes}",
         ctx.request.id,
-        ms_or_none(Some(here_ms).filter(|it| *it != Millis::MAX)),
+        ms_or_none(Some(local_ms).filter(|it| *it != Millis::MAX)),
     );
     emit(events::SPILLED, &shared.settings.instance, &detail);
     let labels = [label("region", region.clone()), label("outcome", "sent")];
@@ -236,15 +236,15 @@
 fn log_not_spilled(
     ctx: &Context,
     region: &str,
-    here_ms: Millis,
-    there_ms: Option<Millis>,
+    local_ms: Millis,
+    remote_ms: Option<Millis>,
     cause: &'static str,
 ) {
     let detail = format!(
         "id={} region={region} cause={cause} here_ms={} there_ms={} left_ms={}",
         ctx.request.id,
-        ms_or_none(Some(here_ms).filter(|it| *it != Millis::MAX)),
-        ms_or_none(there_ms),
+        ms_or_none(Some(local_ms).filter(|it| *it != Millis::MAX)),
+        ms_or_none(remote_ms),
         ctx.target_time_left().as_millis()
     );
     emit(events::NOT_SPILLED, &ctx.shared.settings.instance, &detail);
--- a/crates/holdpointd/src/ingress/update_feed.rs
+++ b/crates/holdpointd/src/ingress/update_feed.rs
@@ -131,14 +131,14 @@
     /// A request that only asks for a newer configuration.
     pub(crate) fn configuration_only(shared: &IngressShared, wants_large: bool) -> FollowRequest {
         let version = shared.configuration().version;
-        let Position { epoch: era, offset } = shared.domains.position();
+        let Position { epoch, offset } = shared.domains.position();
         FollowRequest {
             version,
             wait_ms: 0,
             position: None,
             wants_large,
             orders: Some(offset),
-            epoch: era,
+            epoch,
             rollouts: Some(shared.rollouts.position().offset),
             // Without a position, the response contains no peers.
             peers_digest: Some(0),
@@ -262,13 +262,13 @@
             groups.entry(common).or_default().push(member);
         }
         type Common<'a> = (&'a str, &'a str, u32, bool, &'a str);
-        let group = |((service, domain, slots, is_leaving, version), members): (Common<'_>, _)| {
+        let group = |((service, domain, slots, is_draining, version), members): (Common<'_>, _)| {
             let (service, domain) = (service.to_owned(), domain.to_owned());
             TargetGroup {
                 service,
                 domain,
                 slots,
-                is_draining: is_leaving,
+                is_draining,
                 version: version.to_owned(),
                 members,
             }
@@ -292,8 +292,7 @@
         let born: HashMap<TargetId, Millis> = self.born.into_iter().collect();
         let (cold, born) = (&cold, &born);
         let targets = self.listed.into_iter().flat_map(|group| {
-            let TargetGroup { service, domain, slots, is_draining: is_leaving, version, members } =
-                group;
+            let TargetGroup { service, domain, slots, is_draining, version, members } = group;
             members.into_iter().map(move |(id, address, sequence)| TargetInstance {
                 cold_left_ms: cold.get(&id).copied(),
                 born: born.get(&id).copied(),
@@ -302,7 +301,7 @@
                 address,
                 domain: domain.clone(),
                 slots,
-                is_draining: is_leaving,
+                is_draining,
                 sequence,
                 version: version.clone(),
             })
--- a/crates/holdpointd/src/peers.rs
+++ b/crates/holdpointd/src/peers.rs
@@ -101,7 +101,9 @@
         let answer = self.try_call(address, timeout, call).await;
         match &answer {
             Ok(_) => drop(self.failed.lock().remove(address)),
-            Err(PeerSilent) => drop(self.failed.lock().insert(address.to_owned(), Instant::now())),
+            Err(PeerUnavailable) => {
+                self.failed.lock().insert(address.to_owned(), Instant::now());
+            }
         }
         answer
     }
--- a/crates/holdpointd/src/traffic/callers.rs
+++ b/crates/holdpointd/src/traffic/callers.rs
@@ -211,13 +211,13 @@
     in_flight: InFlightGuard,
 ) -> Result<Response, Problem> {
     let state = shared.traffic.pipelines.get_or_create(&checked.pipeline, PipelineState::default);
-    let need = expected_ms(&state, &checked.graph.spec);
+    let service_ms = expected_ms(&state, &checked.graph.spec);
     let ask = AdmissionRequest {
         organisation: &checked.organisation,
         share: checked.share,
         cap: checked.cap,
         deadline: checked.deadline,
-        service_ms: need,
+        service_ms,
     };
     let admitted = admit(shared, &ask).await.map_err(|it| {
         let kind = match it.reason {
