--- a/crates/holdpoint-soak/src/lib.rs
+++ b/crates/holdpoint-soak/src/lib.rs
@@ -14,7 +14,7 @@
 //! # async fn example() {
 //! let plan = Plan::draw(7, std::time::Duration::from_secs(5));
 //! let verdict = run(&plan, &Builds::new("target/release/holdpointd")).await.unwrap();
-//! assert!(verdict.is_kept(), "{verdict}");
+//! assert!(verdict.is_passed(), "{verdict}");
 //! # }
 //! ```
 
