--- a/crates/holdpointd/src/ingress/confirm.rs
+++ b/crates/holdpointd/src/ingress/confirm.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     events::{self, emit},
-    ingress::{follow, shared::IngressShared, watch},
+    ingress::{follow, shared::IngressShared, store_reader},
 };
 
 /// Validity of a confirmation. Longer than the interval of updates to followers, so that denials usually
@@ -39,7 +39,7 @@
 
 impl Confirmation {
     /// Records that the active configuration was the newest one at `at`, in milliseconds of the clock.
-    pub(crate) fn note(&self, at: Millis) {
+    pub(crate) fn record(&self, at: Millis) {
         self.confirmed_at.fetch_max(at, Ordering::AcqRel);
     }
 
@@ -73,10 +73,10 @@
 async fn query(shared: &Arc<IngressShared>) {
     let started_at = shared.clock.now();
     if follow::confirm_configuration(shared).await {
-        shared.confirmation.note(started_at);
+        shared.confirmation.record(started_at);
         return;
     }
-    watch::read_configuration(shared).await;
+    store_reader::read_configuration(shared).await;
     if !shared.confirmation.is_confirmed_since(started_at.max(1)) {
         let detail = format!("version={}", shared.configuration().version);
         emit(events::UNCONFIRMED, &shared.settings.instance, &detail);
