--- a/crates/holdpoint-core/src/admission.rs
+++ b/crates/holdpoint-core/src/admission.rs
@@ -29,7 +29,7 @@
 
 impl Objective {
     /// Expected time of a late request, in milliseconds: after `backlog_ms` of late work before it, and with
-    /// only the capacity that requests in time leave.
+    /// only the capacity that requests in time leave free.
     fn late_ms(
         self,
         now: Millis,
--- a/crates/holdpoint-core/src/backoffs.rs
+++ b/crates/holdpoint-core/src/backoffs.rs
@@ -76,8 +76,8 @@
         now: Millis,
         service: &str,
     ) -> impl Iterator<Item = (&'a TargetId, Millis)> {
-        let its = self.by_service.get(service).into_iter().flatten();
-        its.map(|(id, it)| (id, it.until)).filter(move |it| now < it.1)
+        let backoffs = self.by_service.get(service).into_iter().flatten();
+        backoffs.map(|(id, it)| (id, it.until)).filter(move |it| now < it.1)
     }
 
     /// Drops the backoffs requested by earlier incarnations of a target than the one that started at `born`.
--- a/crates/holdpoint-core/src/concurrency.rs
+++ b/crates/holdpoint-core/src/concurrency.rs
@@ -1,7 +1,7 @@
 //! Concurrency limit and fair queueing of requests on one instance.
 //!
 //! The gate limits the requests in flight by additive increase and multiplicative decrease, driven by the
-//! queues that targets report. Other requests wait in a queue per organisation, shortest first; the queues
+//! queues that targets report. Requests above the limit wait in a queue per organisation, shortest first; the queues
 //! are served by start-time fair queueing, so that a burst of one organisation delays only itself. A
 //! request that cannot meet its deadline after the expected wait is refused at once, with a `Retry-After`.
 
--- a/crates/holdpoint-core/src/directory.rs
+++ b/crates/holdpoint-core/src/directory.rs
@@ -98,12 +98,12 @@
     until: Millis,
 }
 
-/// Until when a target is cold, in milliseconds.
+/// Times until which a target is cold, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cold {
     /// By its newest entry.
     reported: Millis,
-    /// By this system's own assumption, which entries don't shorten since they may be older.
+    /// By this system's own assumption, which entries do not shorten since they may be older.
     assumed: Millis,
 }
 
--- a/crates/holdpoint-core/src/rollout/judge.rs
+++ b/crates/holdpoint-core/src/rollout/judge.rs
@@ -35,7 +35,8 @@
 const BAD_SUM: f64 = 10.0;
 /// Log-likelihood ratio at which a version is good: a version with the higher rate passes in 1% of cases.
 const GOOD_RATIO: f64 = -4.6;
-/// The same for each route: 10%, since the test over all routes has to pass too.
+/// The same for a single route, where such a version passes in 10% of cases, since the test over all routes has
+/// to pass too.
 const ROUTE_GOOD_RATIO: f64 = -2.3;
 /// Minimum fraction of the old version's answers that a route has for a verdict to wait for it.
 const MIN_ROUTE_SHARE: f64 = 0.02;
--- a/crates/holdpoint-core/src/route.rs
+++ b/crates/holdpoint-core/src/route.rs
@@ -30,7 +30,7 @@
     predict::{Mean, prefix_trust, update_pace},
 };
 
-/// Upper bound of the prefixes tracked for one target.
+/// Maximum number of prefixes tracked for one target.
 const MAX_PREFIXES: usize = 512;
 /// Upper bound of the prefill time per unit of work, in milliseconds. The default of the mean pace, used
 /// until calls have been measured, is far higher.
--- a/crates/holdpoint-core/src/target_limits.rs
+++ b/crates/holdpoint-core/src/target_limits.rs
@@ -303,8 +303,8 @@
         service: &'a str,
         keeping: Ownership,
     ) -> impl Iterator<Item = Allowance<'a>> {
-        let its = self.limits.iter().filter(move |it| it.1.service == service);
-        its.map(move |(target, it)| Allowance {
+        let limits = self.limits.iter().filter(move |it| it.1.service == service);
+        limits.map(move |(target, it)| Allowance {
             target,
             per_s: it.sent_per_s(),
             closed_until: it.closed_until(now, keeping),
@@ -313,8 +313,8 @@
 
     /// Total requests per second sent to a service's targets that have a limit.
     pub fn total_per_s(&self, service: &str) -> f64 {
-        let its = self.limits.values().filter(|it| it.service == service);
-        its.filter_map(Limit::sent_per_s).sum()
+        let limits = self.limits.values().filter(|it| it.service == service);
+        limits.filter_map(Limit::sent_per_s).sum()
     }
 
     /// Drops the limit of a target that has left or restarted.
--- a/crates/holdpoint-emulator/src/capacity.rs
+++ b/crates/holdpoint-emulator/src/capacity.rs
@@ -39,7 +39,7 @@
 pub struct Slope {
     /// Measured quantity, with its unit.
     pub what: &'static str,
-    /// Size that it grows with.
+    /// Size that the quantity grows with.
     pub by: &'static str,
     /// Points of the median run.
     pub points: Points,
@@ -245,7 +245,7 @@
     let full = |n: usize| {
         let mut gate = Gate::new(4 * n);
         for name in &names[..n] {
-            let ask = AdmissionRequest {
+            let admission = AdmissionRequest {
                 organisation: name,
                 share: 1,
                 cap: 64,
@@ -253,7 +253,7 @@
                 service_ms: 100,
             };
             // The gate admits one in four and defers the others.
-            black_box(gate.offer(0, &ask));
+            black_box(gate.offer(0, &admission));
         }
         gate
     };
@@ -271,14 +271,14 @@
             micros(|| {
                 for index in 0..REQUESTS {
                     let name = &names[(index * 7919) % n];
-                    let ask = AdmissionRequest {
+                    let admission = AdmissionRequest {
                         organisation: name,
                         share: 1,
                         cap: 64,
                         deadline: 10_000,
                         service_ms: 100,
                     };
-                    if gate.offer(index as u64, &ask) == Offer::Admit {
+                    if gate.offer(index as u64, &admission) == Offer::Admit {
                         drop(black_box(gate.done(index as u64, name, Signal::Clear)));
                     }
                 }
--- a/crates/holdpoint-emulator/src/control.rs
+++ b/crates/holdpoint-emulator/src/control.rs
@@ -46,7 +46,7 @@
 pub async fn changes(instances: usize, n: usize) -> ChangeTimes {
     let world = World::start(&Plan::new(instances)).await;
     let (mut active, mut reported) = (new_histogram(), new_histogram());
-    let mut told_early = 0;
+    let mut early_count = 0;
     for index in 0..n {
         let spec = json!({ "route": "predicted", "retry_percent": index % 100 });
         let began = Instant::now();
@@ -63,7 +63,7 @@
         },);
         let (status, answered) = status;
         let is_accepted = status.is_ok_and(|it| it.state == ChangeState::Accepted);
-        told_early += usize::from(is_accepted && answered + POLL_INTERVAL * 4 < applied);
+        early_count += usize::from(is_accepted && answered + POLL_INTERVAL * 4 < applied);
         active.saturating_record(applied.as_micros() as u64);
         reported.saturating_record(answered.as_micros() as u64);
     }
@@ -74,7 +74,7 @@
         worst_ms: quantile_ms(&active, 1.0),
         reply_median_ms: quantile_ms(&reported, 0.5),
         reply_max_ms: quantile_ms(&reported, 1.0),
-        early_replies: told_early,
+        early_replies: early_count,
     }
 }
 
--- a/crates/holdpoint-emulator/src/policies/run.rs
+++ b/crates/holdpoint-emulator/src/policies/run.rs
@@ -168,14 +168,14 @@
         let now = self.now_ms();
         let request = &self.requests[index];
         let instance = &mut self.instances[request.arrival.instance];
-        let ask = AdmissionRequest {
+        let admission = AdmissionRequest {
             organisation: ORGANISATIONS[request.arrival.organisation],
             share: 1,
             cap: u32::MAX,
             deadline: request.deadline_us / 1000,
             service_ms: instance.times[request.arrival.kind].quantile(0.5).unwrap_or(0),
         };
-        match instance.gate.offer(now, &ask) {
+        match instance.gate.offer(now, &admission) {
             Offer::Admit => self.start(index),
             Offer::Defer(ticket) => drop(instance.waiting.insert(ticket, index)),
             Offer::Refuse { .. } => self.refuse(),
--- a/crates/holdpoint-soak/src/fleet.rs
+++ b/crates/holdpoint-soak/src/fleet.rs
@@ -333,8 +333,8 @@
     let excess = it.target.limit_excess_of(|arrival| {
         let Some(by) = attempt(&arrival.request) else { return true };
         let at = clock.at(arrival.at);
-        let its = interruptions.get(&by.process).into_iter().flatten();
-        let since = its.filter(|it| **it <= at).max().copied().unwrap_or(0);
+        let times = interruptions.get(&by.process).into_iter().flatten();
+        let since = times.filter(|it| **it <= at).max().copied().unwrap_or(0);
         let is_notified =
             |notified: &&Attempt| since <= notified.sent && notified.ended + LIMIT_GRACE_MS <= at;
         notified.iter().filter(|it| it.process == by.process).any(is_notified)
--- a/crates/holdpoint-soak/src/verdict.rs
+++ b/crates/holdpoint-soak/src/verdict.rs
@@ -137,8 +137,8 @@
     kills: &EventTimes,
 ) -> Vec<Finding> {
     let mut by_id: HashMap<&str, Vec<(&str, &Run)>> = HashMap::new();
-    for (target, its) in runs {
-        for run in its {
+    for (target, target_runs) in runs {
+        for run in target_runs {
             by_id.entry(&run.request).or_default().push((target, run));
         }
     }
--- a/crates/holdpointd/src/events.rs
+++ b/crates/holdpointd/src/events.rs
@@ -139,7 +139,7 @@
     ROLLOUT_PHASE = 751 Info "roll-out phase began";
     /// This instance started or stopped driving a roll-out.
     ROLLOUT_DRIVER = 752 Info "roll-out driver changed";
-    /// The status of a roll-out could not be written.
+    /// The status, a claim or a phase record of a roll-out could not be written.
     ROLLOUT_UNWRITTEN = 753 Warn "roll-out not recorded";
     /// The order for a roll-out cannot be read.
     BAD_ROLLOUT = 754 Error "roll-out order cannot be read";
--- a/crates/holdpointd/src/ingress/attempts.rs
+++ b/crates/holdpointd/src/ingress/attempts.rs
@@ -262,8 +262,8 @@
                 let placed = peers.place(&ctx.shared, &address, &ctx.service, prompt, limit);
                 placed.await.map(|target| Assignment::To { target, is_counted: false })
             } else {
-                let ask = (prompt, ctx.longest_wait_ms());
-                peers.assign(&ctx.shared, &address, &ctx.service, ask, limit).await
+                let request = (prompt, ctx.longest_wait_ms());
+                peers.assign(&ctx.shared, &address, &ctx.service, request, limit).await
             };
             match assignment {
                 Some(Assignment::To { target, is_counted }) => {
--- a/crates/holdpointd/src/ingress/batches.rs
+++ b/crates/holdpointd/src/ingress/batches.rs
@@ -381,8 +381,8 @@
     ) -> &'a mut ServiceQueue {
         services.entry(service.to_owned()).or_insert_with(|| {
             let mut queue = ServiceQueue::new(sizes);
-            if let Some(its) = self.targets.lock().get(service) {
-                queue.set_targets(its);
+            if let Some(targets) = self.targets.lock().get(service) {
+                queue.set_targets(targets);
             }
             queue
         })
--- a/crates/holdpointd/src/ingress/batches/calls.rs
+++ b/crates/holdpointd/src/ingress/batches/calls.rs
@@ -97,8 +97,8 @@
     outcome: &Result<Vec<ItemResult>, CallFailure>,
 ) {
     let requests = |is_match: &dyn Fn(usize) -> bool| -> HashSet<Fingerprint> {
-        let its = items.iter().enumerate().filter(|it| is_match(it.0));
-        its.filter_map(|it| it.1.inputs.fingerprint).collect()
+        let matching = items.iter().enumerate().filter(|it| is_match(it.0));
+        matching.filter_map(|it| it.1.inputs.fingerprint).collect()
     };
     match outcome {
         Ok(results) => {
--- a/crates/holdpointd/src/ingress/changes.rs
+++ b/crates/holdpointd/src/ingress/changes.rs
@@ -92,8 +92,8 @@
             return;
         }
         let count = |change| self.changes.iter().filter(|it| it.1 == change).count();
-        let leaving = self.changes.iter().filter(|it| it.1 == Change::Leaving);
-        let leaving: Vec<&str> = leaving.take(MAX_LISTED_IDS).map(|it| it.0.as_str()).collect();
+        let draining = self.changes.iter().filter(|it| it.1 == Change::Leaving);
+        let draining: Vec<&str> = draining.take(MAX_LISTED_IDS).map(|it| it.0.as_str()).collect();
         let detail = format!(
             "joined={} restarted={} altered={} leaving={} known={} sign={} leaving_ids={}",
             count(Change::Joined),
@@ -102,7 +102,7 @@
             count(Change::Leaving),
             directory.len(),
             self.changes[0].2,
-            leaving.join(",")
+            draining.join(",")
         );
         emit(events::TARGETS_CHANGED, instance, &detail);
     }
--- a/crates/holdpointd/src/ingress/context.rs
+++ b/crates/holdpointd/src/ingress/context.rs
@@ -302,7 +302,9 @@
         self.head.prompt.affinity().is_some() && owner().is_none()
     }
 
-    /// Whether a wait of this many milliseconds ends within the target time and the deadline.
+    /// Whether the time since the caller's first attempt plus a wait of this many milliseconds is less than the
+    /// target time and less than the time that remains until the deadline. The latter is stricter than the
+    /// deadline: it compares time already spent with time that remains.
     pub(crate) fn may_wait_for(&self, ms: Millis) -> bool {
         let waited = self.arrived.elapsed() + self.retry_elapsed + Duration::from_millis(ms);
         waited < self.target_time() && waited < self.left()
--- a/crates/holdpointd/src/ingress/domains.rs
+++ b/crates/holdpointd/src/ingress/domains.rs
@@ -92,8 +92,8 @@
 /// Treats all targets of a domain as cold for a while.
 fn mark_cold(shared: &IngressShared, domain: &str) {
     let configuration = shared.configuration();
-    let its: Vec<_> = shared.targets().into_iter().filter(|it| it.domain == domain).collect();
-    shared.assume_cold(its.iter().filter_map(|it| {
+    let targets: Vec<_> = shared.targets().into_iter().filter(|it| it.domain == domain).collect();
+    shared.assume_cold(targets.iter().filter_map(|it| {
         let cold = configuration.services.get(&it.service)?.cold?;
         Some((it.id.as_str(), cold.start_ms.max(MIN_COLD_MS)))
     }));
--- a/crates/holdpointd/src/ingress/gate.rs
+++ b/crates/holdpointd/src/ingress/gate.rs
@@ -1,5 +1,5 @@
-//! The last check before anything is sent to a target, and the place where a target's notices in its answers
-//! are applied.
+//! The last check before anything is sent to a target, and the place where the notices in its answers are
+//! applied.
 //!
 //! A target is chosen well before the first byte is sent: a connection has to be made, a batch waits for its turn,
 //! a peer places a prompt. The gate checks the target against its state at the time of the send. A connection
@@ -53,7 +53,7 @@
 pub(crate) enum SendBlock {
     /// The target is draining or gone, or its failure domain or version gets no work.
     Closed,
-    /// The target has named a rate limit since the permit was given.
+    /// The target has named a rate limit since the permit was issued.
     Limited,
     /// The target has asked this instance to back off.
     BackingOff,
@@ -174,9 +174,9 @@
     match &notice.backoff {
         Backoff::None => (),
         Backoff::For(ms) => {
-            let its = (target.id.as_str(), target.service.as_str());
+            let key = (target.id.as_str(), target.service.as_str());
             // Counted from the arrival of the answer, the backoff is never too short.
-            let longer = shared.backoffs.lock().request(shared.clock.now(), its, target.born, *ms);
+            let longer = shared.backoffs.lock().request(shared.clock.now(), key, target.born, *ms);
             if let Some(left) = longer {
                 let detail = format!("target={} asked_ms={ms} backoff_ms={left}", target.id);
                 emit(events::BACKOFF_REQUESTED, instance, &detail);
--- a/crates/holdpointd/src/ingress/limits.rs
+++ b/crates/holdpointd/src/ingress/limits.rs
@@ -89,8 +89,8 @@
         sent: Millis,
     ) {
         let made = AnswerSpan { sent, received: shared.clock.now() };
-        let its = (target.id.as_str(), target.service.as_str());
-        let change = self.known.lock().observe(made, its, named);
+        let key = (target.id.as_str(), target.service.as_str());
+        let change = self.known.lock().observe(made, key, named);
         self.log_change(shared, &target.id, change, "answer");
         if change != Change::Nothing {
             self.outbox.queue_for_owner(&target.id);
@@ -231,9 +231,9 @@
         Slot::Taken => (),
         Slot::Refused(ms) => limits.known.lock().record_refusal(shared.clock.now(), &target.id, ms),
         Slot::Free => {
-            let its = (target.id.as_str(), target.service.as_str());
+            let key = (target.id.as_str(), target.service.as_str());
             let made = AnswerSpan { sent: asked, received: shared.clock.now() };
-            let change = limits.known.lock().apply(made, its, None);
+            let change = limits.known.lock().apply(made, key, None);
             limits.log_change(shared, &target.id, change, "peer");
         }
     }
--- a/crates/holdpointd/src/ingress/limits/updates.rs
+++ b/crates/holdpointd/src/ingress/limits/updates.rs
@@ -64,8 +64,8 @@
     let now = shared.clock.now();
     for it in updates {
         // An instance that has just started may receive a limit before it knows the target.
-        let its = (it.target.as_str(), it.service.as_str());
-        let change = limits.known.lock().apply(it.answer_span(now), its, it.per_s);
+        let key = (it.target.as_str(), it.service.as_str());
+        let change = limits.known.lock().apply(it.answer_span(now), key, it.per_s);
         limits.log_change(shared, &it.target, change, "peer");
         let concerns_all = matches!(change, Change::Began | Change::Ended);
         let is_owner =
@@ -116,7 +116,7 @@
         tokio::spawn(async move {
             let updates = updates_for(&shared, &ids);
             if shared.peers.send_limits(&shared, &address, updates).await.is_err() {
-                // The next check sends them to their owner at that time.
+                // The next check sends these limits again, to the instance that owns them by then.
                 let mut reported = shared.limits.outbox.reported.lock();
                 ids.iter().for_each(|it| drop(reported.remove(it)));
             }
--- a/crates/holdpointd/src/ingress/peers.rs
+++ b/crates/holdpointd/src/ingress/peers.rs
@@ -299,8 +299,8 @@
     pub(crate) fn is_confined_to(&self, address: &str, within: &Bounds) -> bool {
         let known = self.known.lock();
         let keeps = |it: &Peer| CONFINEMENT_PROTOCOL <= it.protocol && within.allows(&it.domain);
-        let mut its = known.values().filter(|it| it.address == address).peekable();
-        its.peek().is_some() && its.all(keeps)
+        let mut peers = known.values().filter(|it| it.address == address).peekable();
+        peers.peek().is_some() && peers.all(keeps)
     }
 
     /// Number of responsive instances among those that may be owners, and number of all of these. Unresponsive
@@ -349,11 +349,11 @@
     }
 
     /// Whether this is the known incarnation of a peer and responsive.
-    pub(crate) fn is_responsive_incarnation(&self, name: &str, life: &str) -> bool {
+    pub(crate) fn is_responsive_incarnation(&self, name: &str, incarnation: &str) -> bool {
         let known = self.known.lock();
         known
             .get(name)
-            .is_some_and(|it| it.incarnation == life && !self.links.is_suspect(&it.address))
+            .is_some_and(|it| it.incarnation == incarnation && !self.links.is_suspect(&it.address))
     }
 
     /// Opens a connection to a peer, or uses the one that is open. Its health checks exchange the versions of
--- a/crates/holdpointd/src/ingress/stages.rs
+++ b/crates/holdpointd/src/ingress/stages.rs
@@ -42,8 +42,8 @@
 const FIRST_EVENT_PERCENTILE: u32 = 50;
 /// Percentile of the time to the first event that the margin is derived from.
 const SLOW_FIRST_EVENT_PERCENTILE: u32 = 75;
-/// Fraction of the difference between the two percentiles that is added as a margin. All of it, on top of the
-/// margins of the stages, would treat requests as late that are in time.
+/// Fraction of the difference between the two percentiles that is added as a margin. The whole difference,
+/// on top of the margins of the stages, would make requests count as late that are in time.
 const FIRST_EVENT_MARGIN: f64 = 0.5;
 /// Assumed time from sending a request to a model server until its first event, as long as none was measured.
 const DEFAULT_FIRST_EVENT_MS: Millis = 300;
--- a/crates/holdpointd/src/ingress/store.rs
+++ b/crates/holdpointd/src/ingress/store.rs
@@ -52,15 +52,15 @@
     /// Records the epoch of a response, and returns how it compares with the newest known one.
     pub(crate) fn observe(&self, reported: Option<Epoch>) -> EpochOrder {
         let mut newest = self.newest.lock();
-        let heard = compare_epochs(*newest, reported);
-        if heard == EpochOrder::Newer || newest.is_none() {
+        let order = compare_epochs(*newest, reported);
+        if order == EpochOrder::Newer || newest.is_none() {
             *newest = reported;
         }
         drop(newest);
-        if heard == EpochOrder::Newer {
+        if order == EpochOrder::Newer {
             self.increases.send_replace(Some(Instant::now()));
         }
-        heard
+        order
     }
 
     /// Whether the store has returned from an older copy so recently that records may still have to be written
@@ -226,9 +226,9 @@
         if self.eras.observe(reported) == EpochOrder::Older {
             return Err(StoreError::Over);
         }
-        let heard = compare_epochs(self.epoch, reported);
+        let order = compare_epochs(self.epoch, reported);
         self.epoch = reported.or(self.epoch);
-        if heard == EpochOrder::Newer { Err(StoreError::Returned) } else { Ok(()) }
+        if order == EpochOrder::Newer { Err(StoreError::Returned) } else { Ok(()) }
     }
 }
 
--- a/crates/holdpointd/src/ingress/unread.rs
+++ b/crates/holdpointd/src/ingress/unread.rs
@@ -85,9 +85,9 @@
     ) -> (ChunkSender, impl Stream<Item = Result<Frame<Bytes>, EndedEarly>> + use<>) {
         let (chunks, received) = mpsc::unbounded_channel();
         let of_answer = Arc::new(Semaphore::new(MAX_RESPONSE_BYTES));
-        let keeper = ChunkSender { chunks, of_answer, of_instance: self.free.clone() };
+        let sender = ChunkSender { chunks, of_answer, of_instance: self.free.clone() };
         let frame = |it: Result<Chunk, EndedEarly>| it.map(|it| Frame::data(it.bytes));
-        (keeper, UnboundedReceiverStream::new(received).map(frame))
+        (sender, UnboundedReceiverStream::new(received).map(frame))
     }
 }
 
--- a/crates/holdpointd/src/ingress/update_feed.rs
+++ b/crates/holdpointd/src/ingress/update_feed.rs
@@ -28,11 +28,11 @@
     shared::IngressShared,
 };
 
-/// Maximum wait of a response for an update.
+/// Maximum time that a response waits for an update.
 pub(crate) const MAX_WAIT: Duration = Duration::from_millis(400);
-/// Maximum wait of a response for the leaders to be known.
+/// Maximum time that a response waits until the leaders are known.
 const LEADERS_WAIT: Duration = Duration::from_millis(2000);
-/// Minimum number of changes in a response that are compressed; fewer are small as they are.
+/// Minimum number of changes in a response for these to be compressed; fewer are small anyway.
 const MIN_PACKED_CHANGES: usize = 8;
 /// Size above which a configuration is not sent to peers that cannot read a packed one, unless they want a large
 /// one.
--- a/crates/holdpointd/src/traffic/callers.rs
+++ b/crates/holdpointd/src/traffic/callers.rs
@@ -212,14 +212,14 @@
 ) -> Result<Response, Problem> {
     let state = shared.traffic.pipelines.get_or_create(&checked.pipeline, PipelineState::default);
     let service_ms = expected_ms(&state, &checked.graph.spec);
-    let ask = AdmissionRequest {
+    let admission = AdmissionRequest {
         organisation: &checked.organisation,
         share: checked.share,
         cap: checked.cap,
         deadline: checked.deadline,
         service_ms,
     };
-    let admitted = admit(shared, &ask).await.map_err(|it| {
+    let admitted = admit(shared, &admission).await.map_err(|it| {
         let kind = match it.reason {
             Refusal::OrganisationLimit => ProblemKind::OrganisationLimit,
             Refusal::DeadlineTooClose => ProblemKind::DeadlineTooShort,
--- a/crates/holdpointd/src/traffic/claim.rs
+++ b/crates/holdpointd/src/traffic/claim.rs
@@ -41,10 +41,10 @@
     let mut last = ClaimReply::Silent;
     if let Some(writer) = writer(shared, &claim.key) {
         let part = remaining() / WRITER_DIVISOR;
-        last = ask_writer(shared, &writer, ask(shared, claim, part)).await;
+        last = ask_writer(shared, &writer, claim_request(shared, claim, part)).await;
     }
     if is_undecided(&last) && 0 < remaining() {
-        last = claim_locally(shared, ask(shared, claim, remaining())).await;
+        last = claim_locally(shared, claim_request(shared, claim, remaining())).await;
     }
     last
 }
@@ -54,7 +54,7 @@
     matches!(reply, ClaimReply::Silent | ClaimReply::Held(_))
 }
 
-fn ask(shared: &Shared, claim: &Claim, patience_ms: Millis) -> ClaimAsk {
+fn claim_request(shared: &Shared, claim: &Claim, patience_ms: Millis) -> ClaimAsk {
     ClaimAsk {
         organisation: claim.key.organisation.clone(),
         pipeline: claim.key.pipeline.clone(),
@@ -66,11 +66,11 @@
     }
 }
 
-async fn ask_writer(shared: &Arc<Shared>, writer: &str, ask: ClaimAsk) -> ClaimReply {
-    let limit = Duration::from_millis(ask.patience_ms + NETWORK_MS);
+async fn ask_writer(shared: &Arc<Shared>, writer: &str, request: ClaimAsk) -> ClaimReply {
+    let limit = Duration::from_millis(request.patience_ms + NETWORK_MS);
     let call = shared
         .peers
-        .call(writer, limit, |client, context| async move { client.claim(context, ask).await });
+        .call(writer, limit, |client, context| async move { client.claim(context, request).await });
     call.await.unwrap_or(ClaimReply::Silent)
 }
 
--- a/crates/holdpointd/tests/soak.rs
+++ b/crates/holdpointd/tests/soak.rs
@@ -7,6 +7,7 @@
 /// Seeds of the plans that each test run executes.
 const SEEDS: [u64; 2] = [3, 4];
 
+/// Guards against broken guarantees towards callers and targets under randomly drawn faults.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_under_faults() {
     for seed in SEEDS {
@@ -25,8 +26,8 @@
     assert_seed_passes(1042).await;
 }
 
-/// Guards against requests above the limit that a target names. A process has to observe a limit from half a second
-/// after the first answer that names it, so a process that has just started may still exceed it.
+/// Guards against requests above the limit that a target names. A process may exceed a limit for a short time
+/// after the first answer that names it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_stay_within_a_named_limit_under_faults() {
     assert_seed_passes(1109).await;
