--- a/crates/holdpoint-core/src/backoffs.rs
+++ b/crates/holdpoint-core/src/backoffs.rs
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ActiveBackoff {
-    /// Until when, in milliseconds.
+    /// End of the backoff, in milliseconds.
     until: Millis,
     /// Start of the target's incarnation that asked, in milliseconds of Unix time, if it reports one.
     born: Option<Millis>,
--- a/crates/holdpoint-core/src/directory.rs
+++ b/crates/holdpoint-core/src/directory.rs
@@ -302,7 +302,7 @@
         COLD_TOLERANCE_MS < self.cold_left(now, id).abs_diff(before)
     }
 
-    /// Treats a target as cold for `ms` milliseconds even if its entries don't report it, or are older than the
+    /// Treats a target as cold for `ms` milliseconds even if its entries do not report it, or are older than the
     /// reason for it.
     pub fn assume_cold(&mut self, now: Millis, id: &str, ms: Millis) {
         if self.instances.contains_key(id) && 0 < ms {
--- a/crates/holdpoint-core/src/ingress.rs
+++ b/crates/holdpoint-core/src/ingress.rs
@@ -141,7 +141,7 @@
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
 impl Service {
-    /// Idle connections to one target that each of `instances` instances may keep, so that all together don't
+    /// Idle connections to one target that each of `instances` instances may keep, so that all together do not
     /// exceed the limit of the target.
     pub fn idle_connections(&self, instances: usize) -> usize {
         (self.max_connections as usize / instances.max(1)).min(MAX_IDLE_CONNECTIONS)
--- a/crates/holdpoint-core/src/readers.rs
+++ b/crates/holdpoint-core/src/readers.rs
@@ -212,7 +212,7 @@
 }
 
 /// Time in milliseconds that a follower waits before it reads the store itself. It is spread over the
-/// followers, so that their reads don't coincide and later ones can use the result of an earlier one.
+/// followers, so that their reads do not coincide and later ones can use the result of an earlier one.
 fn read_delay(own: &str, members: usize) -> Millis {
     let max_delay = MAX_READ_DELAY_MS.min(READ_DELAY_PER_INSTANCE_MS * members as Millis);
     weight("patience", own) % max_delay.max(1)
--- a/crates/holdpoint-core/src/rollout/judge.rs
+++ b/crates/holdpoint-core/src/rollout/judge.rs
@@ -42,9 +42,9 @@
 const MIN_ROUTE_SHARE: f64 = 0.02;
 /// Factor from the old version's rate of bad answers to the allowed rate.
 const ALLOWED_FACTOR: f64 = 1.5;
-/// Rate added to that, since an old version with rare failures may show none by chance.
+/// Rate added to the allowed rate, since an old version with rare failures may show none by chance.
 const ALLOWED_MARGIN: f64 = 0.02;
-/// The same for refusals, since a few new targets fill up sooner than many old ones.
+/// Rate added to the allowed rate of refusals, since a few new targets fill up sooner than many old ones.
 const REFUSED_MARGIN: f64 = 0.15;
 /// Fraction of the remainder up to 1 by which the tested rate exceeds the allowed one.
 const WORSE_SHARE: f64 = 0.2;
--- a/crates/holdpoint-core/src/snapshot.rs
+++ b/crates/holdpoint-core/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! Snapshots of control state: a pure function of a prefix of the log, with offset and hash.
 //!
 //! A snapshot is written to a stream of its own, in parts that fit into log records, and a mark without
-//! state to the control stream. So instances that only follow the control stream don't read the snapshots.
+//! state to the control stream. So instances that only follow the control stream do not read the snapshots.
 
 use holdpoint_schema::records::Snapshot;
 
--- a/crates/holdpoint-core/src/token.rs
+++ b/crates/holdpoint-core/src/token.rs
@@ -60,7 +60,7 @@
 ///
 /// # Panics
 ///
-/// Panics if `keys` is empty, which the settings don't allow.
+/// Panics if `keys` is empty, which the settings do not allow.
 pub fn seal(position: &StreamPosition, keys: &[TokenKey]) -> String {
     let key = &keys[0];
     let body = serde_json::to_vec(position).expect("a position has string keys only");
--- a/crates/holdpoint-core/src/topology.rs
+++ b/crates/holdpoint-core/src/topology.rs
@@ -18,7 +18,7 @@
 
 impl Topology {
     /// Makes the topology of an instance in `own_region`, which is empty if the instance is in none. A domain
-    /// that `regions` doesn't name has no region.
+    /// that `regions` does not name has no region.
     pub fn new(own_region: &str, regions: BTreeMap<Name, Name>) -> Topology {
         let all: BTreeSet<&Name> = regions.values().collect();
         let is_split = !own_region.is_empty() && 1 < all.len();
--- a/crates/holdpoint-core/tests/stated_timeouts.rs
+++ b/crates/holdpoint-core/tests/stated_timeouts.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Simulates callers whose deadlines are `full_ms` less a random part of up to `spread`, and of whom `retry_percent`
-/// retry after 1.5 to 3 s. Returns the parts of first attempts and of retries that are taken for retries.
+/// retry after 1.5 to 3 s. Returns the fractions of first attempts and of retries that are detected as retries.
 fn detected_parts(
     seed: u64,
     callers: usize,
--- a/crates/holdpointd/src/ingress/attempts.rs
+++ b/crates/holdpointd/src/ingress/attempts.rs
@@ -308,7 +308,7 @@
     ) -> Option<PromptRequest> {
         let call = ctx.call(&self.tried);
         let mut avoided: Vec<TargetId> = ejected.iter().chain(&self.tried).cloned().collect();
-        // The placing peer doesn't know which targets have asked this instance to back off.
+        // The placing peer does not know which targets have asked this instance to back off.
         let now = ctx.shared.clock.now();
         let backoffs = ctx.shared.backoffs.lock();
         avoided.extend(backoffs.of_service(now, &ctx.service).map(|it| it.0.clone()));
--- a/crates/holdpointd/src/ingress/batches.rs
+++ b/crates/holdpointd/src/ingress/batches.rs
@@ -395,7 +395,7 @@
         }
     }
 
-    /// Fails the items of a service that can't be processed within their requests' deadlines.
+    /// Fails the items of a service that cannot be processed within their requests' deadlines.
     fn expire(&self, shared: &IngressShared, service: &str) {
         let now = shared.clock.now();
         let mut services = self.services.lock();
--- a/crates/holdpointd/src/ingress/connections.rs
+++ b/crates/holdpointd/src/ingress/connections.rs
@@ -37,7 +37,7 @@
 /// Read buffer of the HTTP library for one connection. Its default would fill the memory with answers that
 /// callers do not read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// Most idle connections to one target whose service is not configured.
+/// Maximum number of idle connections to one target whose service is not configured.
 const DEFAULT_IDLE_COUNT: usize = 1;
 
 /// Which idle connections a request may use.
@@ -100,7 +100,7 @@
 pub(crate) struct Connections {
     connect_timeout: Duration,
     idle: Mutex<HashMap<TargetId, Vec<IdleConnection>>>,
-    /// Most idle connections to one target, by service.
+    /// Maximum number of idle connections to one target, by service.
     max_idle: Mutex<HashMap<Name, usize>>,
 }
 
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Closes the idle connections to targets that `is_kept` doesn't name.
+    /// Closes the idle connections to targets that `is_kept` does not name.
     pub(crate) fn retain(&self, is_kept: impl Fn(&str) -> bool) {
         self.idle.lock().retain(|id, _| is_kept(id));
     }
--- a/crates/holdpointd/src/ingress/context.rs
+++ b/crates/holdpointd/src/ingress/context.rs
@@ -183,7 +183,7 @@
         self.route.repeat == Repeat::Free
     }
 
-    /// Hash of the organisation, method, host, path and body. Computed on first use, since most requests don't
+    /// Hash of the organisation, method, host, path and body. Computed on first use, since most requests do not
     /// need it.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
--- a/crates/holdpointd/src/ingress/item_request.rs
+++ b/crates/holdpointd/src/ingress/item_request.rs
@@ -33,11 +33,11 @@
     /// name is that of earlier versions.
     #[serde(rename = "give_up_in_ms")]
     pub(crate) deadline_in_ms: i64,
-    /// Milliseconds until its result is due once it can't meet the objective. Peers of earlier versions send
+    /// Milliseconds until its result is due once it cannot meet the objective. Peers of earlier versions send
     /// none; `deadline_in_ms` applies then.
     #[serde(default)]
     pub(crate) late_due_in_ms: Option<i64>,
-    /// Whether it is refused at once if it can't be in time, as its request has used no capacity yet.
+    /// Whether it is refused at once if it cannot be in time, as its request has used no capacity yet.
     pub(crate) is_refusable: bool,
     /// Milliseconds until its inputs expire.
     #[serde(default)]
--- a/crates/holdpointd/src/ingress/limits/updates.rs
+++ b/crates/holdpointd/src/ingress/limits/updates.rs
@@ -24,7 +24,8 @@
 
 /// How long changes are collected before they are sent to owners together.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
-/// How long changes are collected before they are broadcast; longer, since there may be hundreds of receivers.
+/// How long changes are collected before they are broadcast: longer, since there may be hundreds of
+/// receivers.
 const BROADCAST_DELAY: Duration = Duration::from_millis(200);
 /// Interval of the checks for changed owners and joined instances.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/holdpointd/src/ingress/releases.rs
+++ b/crates/holdpointd/src/ingress/releases.rs
@@ -1,7 +1,7 @@
 //! Releases results that are no longer needed, so that the targets that store them have room again.
 //!
 //! The instance that batches for a service sends the releases to the targets, since it tracks their free room.
-//! If it can't be reached, this instance sends them itself.
+//! If it cannot be reached, this instance sends them itself.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
--- a/crates/holdpointd/src/ingress/request.rs
+++ b/crates/holdpointd/src/ingress/request.rs
@@ -32,7 +32,7 @@
     shared::InFlightGuard,
 };
 
-/// Retry-After of a request that the known configuration doesn't allow, while a newer one may exist.
+/// Retry-After of a request that the known configuration does not allow, while a newer one may exist.
 const UNCONFIGURED_RETRY: Duration = Duration::from_millis(500);
 
 /// Serves a request.
--- a/crates/holdpointd/src/ingress/updates.rs
+++ b/crates/holdpointd/src/ingress/updates.rs
@@ -143,7 +143,7 @@
 fn apply_resources(shared: &IngressShared, resources: Vec<(String, Bytes)>, is_fresh: bool) {
     if is_fresh {
         let is_named = |key: &str| resources.iter().any(|it| it.0 == key);
-        // Quarantines aren't removed this way: the list may be older than the quarantine, and ends are sent
+        // Quarantines are not removed this way: the list may be older than the quarantine, and ends are sent
         // explicitly.
         let known = shared.experiments.all().into_iter();
         known.filter(|it| !is_named(&it.0)).for_each(|it| shared.set_resource(&it.0, None));
