--- a/crates/holdpoint-core/src/backoffs.rs
+++ b/crates/holdpoint-core/src/backoffs.rs
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ActiveBackoff {
-    /// Until when, in milliseconds.
+    /// End of the backoff, in milliseconds.
     until: Millis,
     /// Start of the target's incarnation that asked, in milliseconds of Unix time, if it reports one.
     born: Option<Millis>,
@@ -76,8 +76,8 @@
         now: Millis,
         service: &str,
     ) -> impl Iterator<Item = (&'a TargetId, Millis)> {
-        let its = self.by_service.get(service).into_iter().flatten();
-        its.map(|(id, it)| (id, it.until)).filter(move |it| now < it.1)
+        let backoffs = self.by_service.get(service).into_iter().flatten();
+        backoffs.map(|(id, it)| (id, it.until)).filter(move |it| now < it.1)
     }
 
     /// Drops the backoffs requested by earlier incarnations of a target than the one that started at `born`.
--- a/crates/holdpoint-core/src/directory.rs
+++ b/crates/holdpoint-core/src/directory.rs
@@ -98,12 +98,12 @@
     until: Millis,
 }
 
-/// Until when a target is cold, in milliseconds.
+/// Times until which a target is cold, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cold {
     /// By its newest entry.
     reported: Millis,
-    /// By this system's own assumption, which entries don't shorten since they may be older.
+    /// By this system's own assumption, which entries do not shorten since they may be older.
     assumed: Millis,
 }
 
@@ -302,7 +302,7 @@
         COLD_TOLERANCE_MS < self.cold_left(now, id).abs_diff(before)
     }
 
-    /// Treats a target as cold for `ms` milliseconds even if its entries don't report it, or are older than the
+    /// Treats a target as cold for `ms` milliseconds even if its entries do not report it, or are older than the
     /// reason for it.
     pub fn assume_cold(&mut self, now: Millis, id: &str, ms: Millis) {
         if self.instances.contains_key(id) && 0 < ms {
--- a/crates/holdpoint-core/src/rollout/judge.rs
+++ b/crates/holdpoint-core/src/rollout/judge.rs
@@ -35,15 +35,16 @@
 const BAD_SUM: f64 = 10.0;
 /// Log-likelihood ratio at which a version is good: a version with the higher rate passes in 1% of cases.
 const GOOD_RATIO: f64 = -4.6;
-/// The same for each route: 10%, since the test over all routes has to pass too.
+/// The same for a single route, where such a version passes in 10% of cases, since the test over all routes has
+/// to pass too.
 const ROUTE_GOOD_RATIO: f64 = -2.3;
 /// Minimum fraction of the old version's answers that a route has for a verdict to wait for it.
 const MIN_ROUTE_SHARE: f64 = 0.02;
 /// Factor from the old version's rate of bad answers to the allowed rate.
 const ALLOWED_FACTOR: f64 = 1.5;
-/// Rate added to that, since an old version with rare failures may show none by chance.
+/// Rate added to the allowed rate, since an old version with rare failures may show none by chance.
 const ALLOWED_MARGIN: f64 = 0.02;
-/// The same for refusals, since a few new targets fill up sooner than many old ones.
+/// Rate added to the allowed rate of refusals, since a few new targets fill up sooner than many old ones.
 const REFUSED_MARGIN: f64 = 0.15;
 /// Fraction of the remainder up to 1 by which the tested rate exceeds the allowed one.
 const WORSE_SHARE: f64 = 0.2;
--- a/crates/holdpointd/src/ingress/attempts.rs
+++ b/crates/holdpointd/src/ingress/attempts.rs
@@ -262,8 +262,8 @@
                 let placed = peers.place(&ctx.shared, &address, &ctx.service, prompt, limit);
                 placed.await.map(|target| Assignment::To { target, is_counted: false })
             } else {
-                let ask = (prompt, ctx.longest_wait_ms());
-                peers.assign(&ctx.shared, &address, &ctx.service, ask, limit).await
+                let request = (prompt, ctx.longest_wait_ms());
+                peers.assign(&ctx.shared, &address, &ctx.service, request, limit).await
             };
             match assignment {
                 Some(Assignment::To { target, is_counted }) => {
@@ -308,7 +308,7 @@
     ) -> Option<PromptRequest> {
         let call = ctx.call(&self.tried);
         let mut avoided: Vec<TargetId> = ejected.iter().chain(&self.tried).cloned().collect();
-        // The placing peer doesn't know which targets have asked this instance to back off.
+        // The placing peer does not know which targets have asked this instance to back off.
         let now = ctx.shared.clock.now();
         let backoffs = ctx.shared.backoffs.lock();
         avoided.extend(backoffs.of_service(now, &ctx.service).map(|it| it.0.clone()));
--- a/crates/holdpointd/src/ingress/batches.rs
+++ b/crates/holdpointd/src/ingress/batches.rs
@@ -381,8 +381,8 @@
     ) -> &'a mut ServiceQueue {
         services.entry(service.to_owned()).or_insert_with(|| {
             let mut queue = ServiceQueue::new(sizes);
-            if let Some(its) = self.targets.lock().get(service) {
-                queue.set_targets(its);
+            if let Some(targets) = self.targets.lock().get(service) {
+                queue.set_targets(targets);
             }
             queue
         })
@@ -395,7 +395,7 @@
         }
     }
 
-    /// Fails the items of a service that can't be processed within their requests' deadlines.
+    /// Fails the items of a service that cannot be processed within their requests' deadlines.
     fn expire(&self, shared: &IngressShared, service: &str) {
         let now = shared.clock.now();
         let mut services = self.services.lock();
